--- a/crates/cache-router/src/lib.rs
+++ b/crates/cache-router/src/lib.rs
@@ -18,6 +18,7 @@
 pub mod resp;
 pub mod server_connection;
 pub mod signals;
+pub mod socket;
 pub mod startup;
 pub mod trace;
 pub mod write_progress;
