--- a/crates/cache-router/src/connection_pool.rs
+++ b/crates/cache-router/src/connection_pool.rs
@@ -279,6 +279,18 @@
         now >= since + self.expected_connect_time
     }
 
+    /// Whether this machine has delayed opening any of the connections to a server that are being established.
+    pub fn is_connecting_delayed_locally(&self, server: ServerId) -> bool {
+        let Some(queue) = self.queues.get(&server) else {
+            return false;
+        };
+        queue.connecting.iter().any(|id| {
+            self.connections
+                .get(id)
+                .is_some_and(|connection| connection.handle.is_delayed_locally())
+        })
+    }
+
     /// The attempt that has waited for longest for a connection to a server, if more wait than connections are
     /// expected.
     pub fn excess_waiting_attempt(&self, server: ServerId, now: Micros) -> Option<AttemptId> {
--- a/crates/cache-router/src/discovery/call.rs
+++ b/crates/cache-router/src/discovery/call.rs
@@ -10,11 +10,12 @@
 use hyper::{Request, StatusCode, header};
 use hyper_util::rt::TokioIo;
 use thiserror::Error;
-use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, timeout, timeout_at};
 
 use super::list_decoder::ListError;
+use crate::socket::SocketStream;
+use crate::socket::connect::{self, ConnectError};
 
 /// A connection that is not established after this is tried a second time beside the first: a lost packet is sent again
 /// by TCP only after a second.
@@ -37,7 +38,7 @@
 pub enum CallError {
     /// No connection could be opened.
     #[error("cannot connect to discovery: {0}; check its address and that it runs")]
-    Connect(#[from] std::io::Error),
+    Connect(#[from] ConnectError),
     /// The connection broke, or what it brought is not HTTP.
     #[error("the HTTP exchange with discovery broke off: {0}")]
     Http(#[from] hyper::Error),
@@ -123,8 +124,6 @@
 /// connection behind.
 async fn send_request(address: SocketAddr, path: &str) -> Result<DiscoveryResponse, CallError> {
     let stream = connect(address).await?;
-    // Without it the request is only slower.
-    let _ = stream.set_nodelay(true);
     let (mut sender, connection) = http1::Builder::new()
         .max_buf_size(MAX_HEAD_BYTES)
         .handshake(TokioIo::new(stream))
@@ -146,20 +145,17 @@
 }
 
 /// Opens a connection, with a second one beside a first that does not come up.
-async fn connect(address: SocketAddr) -> Result<TcpStream, CallError> {
-    let first_established = async {
-        let first = TcpStream::connect(address);
-        tokio::pin!(first);
-        if let Ok(stream) = timeout(CONNECT_RETRY_DELAY, &mut first).await {
-            return stream;
-        }
-        tokio::select! {
-            stream = &mut first => stream,
-            stream = TcpStream::connect(address) => stream,
-        }
+async fn connect(address: SocketAddr) -> Result<SocketStream, CallError> {
+    let deadline = Instant::now() + CONNECT_TIMEOUT;
+    let open = || connect::connect(address, deadline, || {});
+    let first = open();
+    tokio::pin!(first);
+    if let Ok(connected) = timeout(CONNECT_RETRY_DELAY, &mut first).await {
+        return Ok(connected?);
+    }
+    let connected = tokio::select! {
+        connected = &mut first => connected,
+        connected = open() => connected,
     };
-    let stream = timeout(CONNECT_TIMEOUT, first_established)
-        .await
-        .map_err(|_| CallError::NoResponse)?;
-    Ok(stream?)
+    Ok(connected?)
 }
--- a/crates/cache-router/src/event_loop/dispatcher.rs
+++ b/crates/cache-router/src/event_loop/dispatcher.rs
@@ -17,9 +17,10 @@
 use super::in_flight::{BUSY_REPLY, FAILED_REPLY, InFlight};
 use super::timers::{Timer, TimerQueue};
 use crate::clock::Clock;
-use crate::connection_pool::ConnectionPool;
+use crate::connection_pool::{ConnectionPool, WriteProgress};
 use crate::message::{
-    AttemptId, ClientRequest, ConnectionId, ServerProtocol, ServerResponse, ServerTarget,
+    AttemptId, ClientRequest, ConnectionId, LossCause, LostConnection, ServerProtocol,
+    ServerResponse, ServerTarget,
 };
 use crate::trace::Trace;
 use crate::{cache_protocol, origin_protocol};
@@ -258,7 +259,11 @@
             .pool
             .start_write(connection, bytes, deadline, is_confirmed)
         {
-            self.handle_lost_attempt(id, connection, false);
+            let lost = LostConnection {
+                progress: WriteProgress::NotStarted,
+                cause: LossCause::Server,
+            };
+            self.handle_lost_attempt(id, connection, lost);
             return true;
         }
         if !is_confirmed {
--- a/crates/cache-router/src/event_loop/dispatcher/connection_events.rs
+++ b/crates/cache-router/src/event_loop/dispatcher/connection_events.rs
@@ -4,7 +4,9 @@
 
 use super::{Dispatcher, WriteKind};
 use crate::connection_pool::ConnectionState;
-use crate::message::{AttemptId, ConnectionId, ServerConnectionEvent, ServerResponse};
+use crate::message::{
+    AttemptId, ConnectionId, LossCause, LostConnection, ServerConnectionEvent, ServerResponse,
+};
 
 impl Dispatcher {
     /// Handles an event of a connection; one that was closed meanwhile is of no interest.
@@ -27,9 +29,9 @@
             }
             ServerConnectionEvent::NotWritten => self.handle_not_written(connection, state),
             ServerConnectionEvent::ConfirmWrite => self.confirm_write(connection, state),
-            ServerConnectionEvent::Lost { written } => match state {
+            ServerConnectionEvent::Lost(lost) => match state {
                 ConnectionState::Busy(attempt) => {
-                    self.handle_lost_attempt(attempt, connection, written)
+                    self.handle_lost_attempt(attempt, connection, lost)
                 }
                 _ => self.handle_lost_unused(connection, server, state, now),
             },
@@ -99,26 +101,27 @@
         }
     }
 
-    /// A connection was lost that carried an attempt, of which the last byte may have been written.
+    /// A connection was lost that carried an attempt.
     pub(super) fn handle_lost_attempt(
         &mut self,
         id: AttemptId,
         connection: ConnectionId,
-        written: bool,
+        lost: LostConnection,
     ) {
         let was_reused = self.pool.request_count(connection) > 1;
         self.pool.close(connection);
-        if written {
-            return self.end_attempt(id, AttemptStatus::Reset);
+        if lost.progress.may_have_run() {
+            return self.end_attempt(id, status_of_written_attempt(lost.cause));
         }
         let Some(attempt) = self.in_flight.attempt_mut(id) else {
             return;
         };
         attempt.connection = None;
         let server = attempt.server;
-        // A reused connection had ended unseen: the last byte was not written, so nothing was sent, and the same attempt
-        // may have another. Only so often: a new one has carried nothing.
-        match self.endpoints.target(server).filter(|_| was_reused) {
+        // A reused connection had ended unseen, and the same attempt may have another, as where this machine is to
+        // blame. Only so often: a new connection that its server has ended has carried nothing.
+        let may_have_another = was_reused || lost.cause == LossCause::ThisMachine;
+        match self.endpoints.target(server).filter(|_| may_have_another) {
             Some(target) => self.wait_for_connection(id, target),
             None => self.end_attempt(id, AttemptStatus::ConnectFailed),
         }
@@ -132,6 +135,7 @@
         state: ConnectionState,
         now: Micros,
     ) {
+        let status = self.unconnected_status(server);
         self.pool.close(connection);
         if !matches!(state, ConnectionState::Connecting(_)) {
             return;
@@ -139,7 +143,26 @@
         // Refused, or the machine has vanished: one connection less can come up for the attempts that wait.
         if let Some(attempt) = self.pool.excess_waiting_attempt(server, now) {
             self.pool.cancel_wait(server, attempt);
-            self.end_attempt(attempt, AttemptStatus::ConnectFailed);
+            self.end_attempt(attempt, status);
         }
     }
+
+    /// How an attempt ends that has waited for a connection to a server in vain. Where this machine could not open one,
+    /// the server is not to blame: it was never asked.
+    pub(super) fn unconnected_status(&self, server: ServerId) -> AttemptStatus {
+        if self.pool.is_connecting_delayed_locally(server) {
+            AttemptStatus::NotSent
+        } else {
+            AttemptStatus::ConnectFailed
+        }
+    }
+}
+
+/// How an attempt ends that may have run, and whose connection was lost before its response.
+fn status_of_written_attempt(cause: LossCause) -> AttemptStatus {
+    match cause {
+        LossCause::Server => AttemptStatus::Reset,
+        // May have run as well, but tells nothing of the server.
+        LossCause::ThisMachine => AttemptStatus::Cancelled,
+    }
 }
--- a/crates/cache-router/src/event_loop/dispatcher/give_up.rs
+++ b/crates/cache-router/src/event_loop/dispatcher/give_up.rs
@@ -111,8 +111,9 @@
     /// Fails an attempt, if it still waits for a connection since a time.
     pub fn fail_unconnected(&mut self, attempt: AttemptId, waiting_since: Micros) {
         if let Some(server) = self.server_waited_for(attempt, waiting_since) {
+            let status = self.unconnected_status(server);
             self.pool.cancel_wait(server, attempt);
-            self.end_attempt(attempt, AttemptStatus::ConnectFailed);
+            self.end_attempt(attempt, status);
         }
     }
 
--- a/crates/cache-router/src/message.rs
+++ b/crates/cache-router/src/message.rs
@@ -9,6 +9,8 @@
 use tokio::sync::mpsc;
 use xxhash_rust::xxh3::xxh3_64;
 
+use crate::write_progress::WriteProgress;
+
 /// An event for the event loop.
 #[derive(Debug)]
 pub enum RouterEvent {
@@ -164,10 +166,25 @@
     /// the decision has to be confirmed, since events that arrived meanwhile can revoke it.
     ConfirmWrite,
     /// It could not be established, or was lost.
-    Lost {
-        /// Whether the last byte of its request may have been written.
-        written: bool,
-    },
+    Lost(LostConnection),
+}
+
+/// How a connection to a server was lost.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct LostConnection {
+    /// How far the request was written that it carried.
+    pub progress: WriteProgress,
+    /// Who is to blame.
+    pub cause: LossCause,
+}
+
+/// Who is to blame for a lost connection.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum LossCause {
+    /// The server, or the network on the way.
+    Server,
+    /// This machine, which lacked memory or descriptors for too long.
+    ThisMachine,
 }
 
 /// The protocol that a server speaks.
--- a/crates/cache-router/src/server_connection.rs
+++ b/crates/cache-router/src/server_connection.rs
@@ -4,23 +4,27 @@
 //! The [connection pool](crate::connection_pool) spawns the task and ends it by aborting it; it also ends by itself when
 //! its connection is lost. It reports to the event loop.
 
+use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
 use routing_policy::Micros;
 use routing_policy::settings::Deployment;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
+use tokio::time::Instant;
 
 use crate::clock::Clock;
 use crate::message::{
-    ConnectionId, ProtocolError, RouterEvent, ServerConnectionEvent, ServerProtocol,
-    ServerResponse, ServerTarget,
+    ConnectionId, LossCause, LostConnection, ProtocolError, RouterEvent, ServerConnectionEvent,
+    ServerProtocol, ServerResponse, ServerTarget,
 };
+use crate::socket::errors::classify;
+use crate::socket::{self, SocketStream};
 use crate::write_progress::{SharedWriteProgress, WriteProgress};
 use crate::{cache_protocol, origin_protocol};
 
@@ -54,6 +58,8 @@
 pub struct ServerConnectionHandle {
     /// Takes one request at a time.
     requests: mpsc::Sender<OutgoingRequest>,
+    /// Whether opening it has been delayed by this machine and not by the server.
+    is_delayed_locally: Arc<AtomicBool>,
     task: AbortHandle,
 }
 
@@ -63,6 +69,11 @@
         self.requests.try_send(request).is_ok()
     }
 
+    /// Whether opening it has been delayed by this machine: the server cannot be blamed for the delay.
+    pub fn is_delayed_locally(&self) -> bool {
+        self.is_delayed_locally.load(Ordering::Relaxed)
+    }
+
     /// Whether the connection's task has ended.
     pub fn is_closed(&self) -> bool {
         self.requests.is_closed()
@@ -83,15 +94,18 @@
     context: ServerConnectionContext,
 ) -> ServerConnectionHandle {
     let (requests, receiver) = mpsc::channel(1);
+    let is_delayed_locally = Arc::<AtomicBool>::default();
     let connection = ServerConnection {
         id,
         protocol: target.protocol,
         requests: receiver,
+        is_delayed_locally: is_delayed_locally.clone(),
         context,
     };
     let task = tokio::spawn(connection.run(target.address, connect_timeout));
     ServerConnectionHandle {
         requests,
+        is_delayed_locally,
         task: task.abort_handle(),
     }
 }
@@ -101,6 +115,7 @@
     id: ConnectionId,
     protocol: ServerProtocol,
     requests: mpsc::Receiver<OutgoingRequest>,
+    is_delayed_locally: Arc<AtomicBool>,
     context: ServerConnectionContext,
 }
 
@@ -116,15 +131,18 @@
         address: SocketAddr,
         connect_timeout: Duration,
     ) -> ServerConnectionEvent {
-        const LOST: ServerConnectionEvent = ServerConnectionEvent::Lost { written: false };
+        const LOST: ServerConnectionEvent = ServerConnectionEvent::Lost(LostConnection {
+            progress: WriteProgress::NotStarted,
+            cause: LossCause::Server,
+        });
         // A machine that vanished answers nothing, so connecting has a time-out of its own. It is longer than that of
         // the attempts that wait for it: a connection that comes up late shows that the server is there.
-        let connected = tokio::time::timeout(connect_timeout, TcpStream::connect(address)).await;
-        let Ok(Ok(mut stream)) = connected else {
+        let deadline = Instant::now() + connect_timeout;
+        let note_local_failure = || self.is_delayed_locally.store(true, Ordering::Relaxed);
+        let connected = socket::connect::connect(address, deadline, note_local_failure).await;
+        let Ok(mut stream) = connected else {
             return LOST;
         };
-        // Without it requests are only slower.
-        let _ = stream.set_nodelay(true);
         let mut buffer = BytesMut::new();
         let mut event = ServerConnectionEvent::Established;
         loop {
@@ -159,7 +177,7 @@
     async fn carry(
         &self,
         request: OutgoingRequest,
-        stream: &mut TcpStream,
+        stream: &mut SocketStream,
         buffer: &mut BytesMut,
     ) -> ServerConnectionEvent {
         // The process may have been suspended since the event loop decided to write: a request must not be written
@@ -176,38 +194,38 @@
         {
             return ServerConnectionEvent::NotWritten;
         }
-        if stream.write_all(&request.bytes).await.is_err() {
-            return ServerConnectionEvent::Lost { written: false };
+        if let Err(error) = stream.write_all(&request.bytes).await {
+            return lost_by(&error, WriteProgress::Writing);
         }
         progress.advance(WriteProgress::Writing, WriteProgress::Written);
         // The memory of a large value is not held while its response is waited for.
         drop(request);
         match self.read_response(stream, buffer).await {
-            Some(response) => ServerConnectionEvent::Response(response),
-            None => ServerConnectionEvent::Lost { written: true },
+            Ok(response) => ServerConnectionEvent::Response(response),
+            Err(error) => lost_by(&error, WriteProgress::Written),
         }
     }
 
-    /// Reads a response; `None` if the connection is lost or breaks its protocol.
+    /// Reads a response; an error if the connection is lost or its server breaks the protocol.
     async fn read_response(
         &self,
-        stream: &mut TcpStream,
+        stream: &mut SocketStream,
         buffer: &mut BytesMut,
-    ) -> Option<ServerResponse> {
+    ) -> io::Result<ServerResponse> {
         let response = loop {
-            if let Some(response) = self.decode(buffer).ok()? {
+            if let Some(response) = self.decode(buffer).map_err(io::Error::other)? {
                 break response;
             }
             buffer.reserve(READ_CAPACITY);
-            if !matches!(stream.read_buf(buffer).await, Ok(count) if count > 0) {
-                return None;
+            if stream.read_buf(buffer).await? == 0 {
+                return Err(io::ErrorKind::UnexpectedEof.into());
             }
         };
         // Bytes beyond the response belong to no request: nothing after them could be matched.
         let reusable = response.reusable && buffer.is_empty();
         // Gives back the memory that a large response took.
         *buffer = BytesMut::new();
-        Some(ServerResponse {
+        Ok(ServerResponse {
             reusable,
             ..response
         })
@@ -222,10 +240,20 @@
     }
 }
 
+/// The event of a connection that was lost by an error, while it carried a request that was written so far.
+fn lost_by(error: &io::Error, progress: WriteProgress) -> ServerConnectionEvent {
+    let cause = if classify(error).is_transient() {
+        LossCause::ThisMachine
+    } else {
+        LossCause::Server
+    };
+    ServerConnectionEvent::Lost(LostConnection { progress, cause })
+}
+
 /// Whether a connection can carry no request after an event.
 fn closes_connection(event: &ServerConnectionEvent) -> bool {
     match event {
-        ServerConnectionEvent::Lost { .. } => true,
+        ServerConnectionEvent::Lost(_) => true,
         ServerConnectionEvent::Response(response) => !response.reusable,
         ServerConnectionEvent::Established
         | ServerConnectionEvent::NotWritten
--- a/crates/cache-router/src/write_progress.rs
+++ b/crates/cache-router/src/write_progress.rs
@@ -23,6 +23,19 @@
         WriteProgress::Written,
         WriteProgress::Withdrawn,
     ];
+
+    /// Whether the server may have run a request that was written so far.
+    ///
+    /// A server runs a request once it has the last byte: an incomplete RESP command has a word or a part of one to
+    /// come, and an incomplete HTTP request a part of its head or of the body that the head announces. A write that
+    /// fails has taken none of the bytes that it was given, and the last write is given the last byte. So whatever was
+    /// written before a write failed, the request did not run; once all is written, it may have.
+    pub fn may_have_run(self) -> bool {
+        match self {
+            WriteProgress::Written => true,
+            WriteProgress::NotStarted | WriteProgress::Writing | WriteProgress::Withdrawn => false,
+        }
+    }
 }
 
 /// A [`WriteProgress`] that two tasks share.
--- a/crates/cache-router/tests/event_loop/main.rs
+++ b/crates/cache-router/tests/event_loop/main.rs
@@ -8,6 +8,7 @@
 )]
 
 mod harness;
+mod local_failures;
 mod revoked_sends;
 
 use bytes::Bytes;
