--- /dev/null
+++ b/crates/routing-policy/src/interface/settings.rs
@@ -0,0 +1,192 @@
+//! What a router is configured with at its start.
+
+use crate::identifiers::Micros;
+
+/// What a router is configured with at its start.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Settings {
+    /// Number of routers in front of the fleet.
+    pub balancer_count: u32,
+    /// Index of this router among them, from 0.
+    pub balancer_index: u32,
+    /// The zone of this router.
+    pub zone: u8,
+    /// The classes of requests.
+    pub classes: Vec<RequestClass>,
+    /// The tenants; empty where a deployment has none.
+    pub tenants: Vec<Tenant>,
+    /// Whether the endpoint list must be requested (a watch or the whole list) or arrives unrequested.
+    pub poll_discovery: bool,
+    /// A router without a watch counts as notified of a change this long after it happened.
+    pub notified_within: Micros,
+    /// Machine kind of the origin in the endpoint list; `None` where cache servers fetch for themselves.
+    pub origin_kind: Option<u16>,
+    /// Whether weights in the endpoint list are sizes of servers.
+    pub weights_are_sizes: bool,
+    /// Whether weights in the endpoint list are size / (1 + requests in flight per core).
+    pub weights_are_live: bool,
+    /// The fields of load reports, in their order.
+    pub load_fields: Vec<LoadField>,
+    /// Attempts that one request may make, the first included.
+    pub max_attempts: u32,
+    /// Whether two attempts of one request may be in flight at once.
+    pub may_hedge: bool,
+    /// Whether an attempt may be cancelled.
+    pub may_cancel: bool,
+    /// Whether health checks are allowed.
+    pub may_check_health: bool,
+    /// Whether routers may send each other messages.
+    pub may_message_peers: bool,
+    /// Cost of the connections that one router in a hundred keeps open to all servers.
+    pub connection_cost: f64,
+    /// Cost of opening a connection for each request, in the same unit.
+    pub handshake_cost: f64,
+    /// The longest Retry-After that clients honour; 0 where they honour none.
+    pub max_retry_after: Micros,
+    /// Shortest time between two calls of the policy; timers are this late at the most.
+    pub tick: Micros,
+    /// A server that has just started has at least this fraction of its capacity.
+    pub cold_capacity_share: f64,
+    /// A server has its whole capacity this long after its start at the latest.
+    pub warm_up_period: Micros,
+    /// A server that warms up collapses when sent more than this multiple of its present capacity.
+    pub overload_multiple: f64,
+    /// For how long that multiple must last.
+    pub overload_window: Micros,
+    /// Sends to a draining or removed server must stop within this time.
+    pub drain_grace: Micros,
+}
+
+impl Default for Settings {
+    fn default() -> Self {
+        Settings {
+            balancer_count: 1,
+            balancer_index: 0,
+            zone: 0,
+            classes: vec![RequestClass::default()],
+            tenants: Vec::new(),
+            poll_discovery: false,
+            notified_within: 10_000_000,
+            origin_kind: None,
+            weights_are_sizes: false,
+            weights_are_live: false,
+            load_fields: Vec::new(),
+            max_attempts: 3,
+            may_hedge: true,
+            may_cancel: false,
+            may_check_health: false,
+            may_message_peers: false,
+            connection_cost: 0.0,
+            handshake_cost: 0.0,
+            max_retry_after: 0,
+            tick: 1_000,
+            cold_capacity_share: 0.25,
+            warm_up_period: 10_000_000,
+            overload_multiple: 3.0,
+            overload_window: 2_000_000,
+            drain_grace: 500_000,
+        }
+    }
+}
+
+/// The latency objective where there is no class.
+const DEFAULT_OBJECTIVE: Micros = 1_000_000;
+
+impl Settings {
+    /// The number of routers, at least one.
+    pub(crate) fn router_count(&self) -> f64 {
+        f64::from(self.balancer_count.max(1))
+    }
+
+    /// The longest latency objective of all classes, at least a microsecond.
+    pub(crate) fn longest_objective(&self) -> Micros {
+        let objectives = self.classes.iter().map(|class| class.latency_objective);
+        objectives.max().unwrap_or(DEFAULT_OBJECTIVE).max(1)
+    }
+
+    /// The shortest latency objective of all classes.
+    pub(crate) fn shortest_objective(&self) -> Micros {
+        let objectives = self.classes.iter().map(|class| class.latency_objective);
+        objectives.min().unwrap_or(DEFAULT_OBJECTIVE)
+    }
+}
+
+/// A class of requests with one latency objective.
+#[derive(Debug, Clone, PartialEq)]
+pub struct RequestClass {
+    /// An answer within this time earns the full priority weight.
+    pub latency_objective: Micros,
+    /// A client waits this long, its retries included.
+    pub deadline: Micros,
+    /// What an answer in time earns.
+    pub priority_weight: f64,
+    /// Fraction of the priority weight that an answer after the objective still earns.
+    pub late_weight: f64,
+    /// What a retry of such a request does.
+    pub idempotency: Idempotency,
+}
+
+impl Default for RequestClass {
+    fn default() -> Self {
+        RequestClass {
+            latency_objective: 250_000,
+            deadline: 1_000_000,
+            priority_weight: 1.0,
+            late_weight: 0.0,
+            idempotency: Idempotency::Idempotent,
+        }
+    }
+}
+
+/// What a retry of a request that may have run does.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub enum Idempotency {
+    /// Nothing: it may be sent any number of times.
+    Idempotent,
+    /// It carries an idempotency key: servers in scope drop a retry for a while after the first attempt.
+    Deduplicated {
+        /// Which servers drop a retry.
+        scope: DeduplicationScope,
+        /// For how long, since the earliest attempt that may have run was sent.
+        window: Micros,
+    },
+    /// The effect happens again.
+    NotIdempotent,
+}
+
+/// The cache servers that share which idempotency keys they have seen.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum DeduplicationScope {
+    /// All cache servers.
+    All,
+    /// Those of one zone.
+    Zone,
+    /// Those of one cell.
+    Cell,
+}
+
+/// A tenant and its quota.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Tenant {
+    /// Requests per second over all routers together.
+    pub quota_per_s: f64,
+}
+
+/// A field of a load report.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum LoadField {
+    /// Requests in progress.
+    InFlight,
+    /// Requests in the queue.
+    Queued,
+    /// Fraction of the CPU in use.
+    Busy,
+    /// Recent service time in milliseconds.
+    ServiceMs,
+    /// Requests served per second.
+    Rate,
+    /// Errors per second.
+    ErrorRate,
+    /// A field that this version does not know.
+    Other,
+}
