--- a/crates/cache-router/src/message.rs
+++ b/crates/cache-router/src/message.rs
@@ -162,8 +162,9 @@
     Response(ServerResponse),
     /// Its request was withdrawn, or reached its deadline, before the first byte was written; the connection is free.
     NotWritten,
-    /// The process was suspended between the event loop's decision to write and the first byte, which was not written:
-    /// the decision has to be confirmed, since events that arrived meanwhile can revoke it.
+    /// The process was suspended between the event loop's decision to write and the first byte, or this machine could
+    /// not write it. No byte was written, and the decision has to be confirmed, since events that arrived meanwhile can
+    /// revoke it.
     ConfirmWrite,
     /// It could not be established, or was lost.
     Lost(LostConnection),
--- a/crates/cache-router/src/server_connection.rs
+++ b/crates/cache-router/src/server_connection.rs
@@ -24,6 +24,7 @@
     ServerProtocol, ServerResponse, ServerTarget,
 };
 use crate::socket::errors::classify;
+use crate::socket::stream::LOCAL_RETRY_PAUSE;
 use crate::socket::{self, SocketStream};
 use crate::write_progress::{SharedWriteProgress, WriteProgress};
 use crate::{cache_protocol, origin_protocol};
@@ -194,7 +195,14 @@
         {
             return ServerConnectionEvent::NotWritten;
         }
-        if let Err(error) = stream.write_all(&request.bytes).await {
+        let first_write = match stream.begin_write(&request.bytes).await {
+            Ok(count) => count,
+            Err(error) if classify(&error).is_transient() => {
+                return self.postpone_write(progress).await;
+            }
+            Err(error) => return lost_by(&error, WriteProgress::Writing),
+        };
+        if let Err(error) = stream.write_all(&request.bytes[first_write..]).await {
             return lost_by(&error, WriteProgress::Writing);
         }
         progress.advance(WriteProgress::Writing, WriteProgress::Written);
@@ -206,6 +214,14 @@
         }
     }
 
+    /// This machine could not write the first byte of a request. It is written again only once the event loop has
+    /// confirmed it: meanwhile its client may leave, and the time that it states becomes wrong.
+    async fn postpone_write(&self, progress: &SharedWriteProgress) -> ServerConnectionEvent {
+        progress.advance(WriteProgress::Writing, WriteProgress::NotStarted);
+        tokio::time::sleep(LOCAL_RETRY_PAUSE).await;
+        ServerConnectionEvent::ConfirmWrite
+    }
+
     /// Reads a response; an error if the connection is lost or its server breaks the protocol.
     async fn read_response(
         &self,
--- a/crates/cache-router/src/socket/stream.rs
+++ b/crates/cache-router/src/socket/stream.rs
@@ -4,7 +4,7 @@
 //! drained socket and wait for the next edge, which does not come if the kernel had more to give. Here a socket counts
 //! as drained only when a call reports that it would block.
 
-use std::future::Future;
+use std::future::{Future, poll_fn};
 use std::io;
 use std::net::Shutdown;
 use std::pin::Pin;
@@ -138,6 +138,21 @@
         }
     }
 
+    /// Waits until the kernel takes the first of some bytes, and returns how many it took. Unlike a write, it does not
+    /// wait for what this machine lacks: meanwhile the bytes could become out of date.
+    ///
+    /// # Errors
+    /// As send(2).
+    pub async fn begin_write(&mut self, bytes: &[u8]) -> io::Result<usize> {
+        loop {
+            poll_fn(|context| self.socket.poll_write_ready(context)).await?;
+            match retry_interrupted(|| self.socket.try_write(bytes)) {
+                Err(error) if is_not_ready(&error) => {}
+                result => return result,
+            }
+        }
+    }
+
     /// Ends the side that is written to. What the kernel holds is still sent.
     ///
     /// # Errors
--- a/crates/cache-router/src/write_progress.rs
+++ b/crates/cache-router/src/write_progress.rs
@@ -3,7 +3,7 @@
 
 use std::sync::atomic::{AtomicU8, Ordering};
 
-/// How far the write of a request has come. Only the connection's task advances it, and only the event loop withdraws.
+/// How far the write of a request has come. Only the connection's task changes it, and only the event loop withdraws.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteProgress {
     /// No byte has been written.
--- a/crates/cache-router/tests/socket/stream.rs
+++ b/crates/cache-router/tests/socket/stream.rs
@@ -118,6 +118,22 @@
     assert!(started_at.elapsed() >= LOCAL_RETRY_PAUSE * 2);
 }
 
+#[tokio::test(start_paused = true)]
+async fn the_first_byte_of_a_write_is_not_waited_for_where_this_machine_lacks_memory() {
+    let calls = [
+        Call::Fail(libc::EINTR),
+        Call::Fail(libc::EAGAIN),
+        Call::Fail(libc::ENOBUFS),
+        Call::Transfer(3),
+    ];
+    let mut stream = ScriptedSocket::stream(&calls, b"");
+    let started_at = Instant::now();
+    let error = stream.begin_write(b"request").await.unwrap_err();
+    assert_eq!(error.raw_os_error(), Some(libc::ENOBUFS));
+    assert_eq!(stream.begin_write(b"request").await.unwrap(), 3);
+    assert_eq!(started_at.elapsed().as_millis(), 0);
+}
+
 #[tokio::test(start_paused = true)]
 async fn a_lasting_lack_of_memory_ends_the_connection() {
     let mut stream = ScriptedSocket::stream(&[Call::Fail(libc::ENOBUFS)], b"");
