--- a/crates/routing-policy/src/policy.rs
+++ b/crates/routing-policy/src/policy.rs
@@ -5,7 +5,6 @@
 //! limiter, which defers a call by a random delay where it is at capacity. All else is a departure for a
 //! failure that the code names.
 
-// The modules import all that this one does: the limit on the lines of policy files leaves no room for lists.
 mod admission;
 mod attempts;
 mod endpoints;
