--- a/crates/routing-policy/src/policy/attempts.rs
+++ b/crates/routing-policy/src/policy/attempts.rs
@@ -115,8 +115,10 @@
     /// What a retry costs; none where the attempt cost its server nothing. Retrying what may still run adds
     /// work just when things are slow.
     fn retry_cost(&self, attempt: &Attempt, status: AttemptStatus) -> Option<f64> {
-        // Where each attempt opens a connection, one rejected has cost the server work all the same.
-        let opened = self.closes_idle && attempt.is_cache_read() && status != AttemptStatus::Miss;
+        // Where each attempt opens a connection, one rejected has cost the server work all the same. One that was never
+        // sent has not.
+        let cost_nothing = matches!(status, AttemptStatus::Miss | AttemptStatus::NotSent);
+        let opened = self.closes_idle && attempt.is_cache_read() && !cost_nothing;
         if status.proves_not_run() && !opened {
             return None;
         }
--- a/crates/routing-policy/tests/attempts.rs
+++ b/crates/routing-policy/tests/attempts.rs
@@ -155,6 +155,27 @@
     assert!(!closes(50) && closes(400));
 }
 
+#[test]
+fn an_attempt_that_was_never_sent_is_free_where_each_one_opens_a_connection() {
+    let costly_connections = Settings {
+        connection_cost: 0.03,
+        handshake_cost: 0.03,
+        balancer_count: 400,
+        ..settings()
+    };
+    let goes_on = |status| {
+        let mut router = Router::new(costly_connections.clone(), 4);
+        let not_idempotent = Request {
+            class: 2,
+            ..read(1, 9)
+        };
+        let first = sent_to(&router.request(not_idempotent)).unwrap();
+        sends(&router.outcome(1, 0, first, status)) == 1
+    };
+    assert!(goes_on(AttemptStatus::NotSent));
+    assert!(!goes_on(AttemptStatus::Reset), "it may have run");
+}
+
 #[test]
 fn the_wait_for_a_connection_is_no_sign_of_overload_and_a_slow_answer_is() {
     // The keys that go to server 1 first, of many, after some attempts at it that had their answer late.
