--- a/crates/routing-policy/src/policy.rs
+++ b/crates/routing-policy/src/policy.rs
@@ -22,9 +22,12 @@
 
 pub use router_state::Policy;
 
-const REVIEWS_PER_OBJECTIVE: Micros = 8; // within the longest objective
-const REVIEW_KEEP: f64 = 0.85; // what a review keeps of the counts before it,
-const REVIEW_LEAST: f64 = 10.0; // while more observations than this are left to judge by
+/// Reviews of the load within the longest latency objective.
+const REVIEWS_PER_OBJECTIVE: Micros = 8;
+/// Fraction of the counts before it that a review keeps.
+const REVIEW_KEEP: f64 = 0.85;
+/// Observations below which a review reduces the counts no further: fewer are no longer enough to judge by.
+const REVIEW_LEAST: f64 = 10.0;
 
 impl Policy {
     /// Takes one event at a clock value and adds the actions that it calls for.
--- a/crates/routing-policy/src/policy/admission.rs
+++ b/crates/routing-policy/src/policy/admission.rs
@@ -1,14 +1,22 @@
 //! Admission of requests by their tenants' quotas.
 
-use super::*;
+use super::Policy;
+use crate::interface::{Micros, Request, Settings};
+use crate::state::{InFlightRequest, MajorityVote, TenantQuota, TokenBucket};
 
-/// Tokens that a bucket holds beyond an objective's worth, against chance in who reaches which router.
+/// Tokens that a tenant's bucket holds beyond what fills it within one latency objective: which of the routers a request
+/// reaches is left to chance.
 const BURST_TOKENS: f64 = 5.0;
-/// Fraction of the quotas that tenants may use in common: those within theirs leave about the rest unused.
+/// Fraction of the sum of all quotas that tenants may use in common: those within their quotas leave about the rest
+/// unused.
 const SHARED_QUOTA_FRACTION: f64 = 0.8;
-const DEADLINE_TOLERANCE: f64 = 0.01; // of the deadline, as the network takes some of it
-const VOTES_KNOWN: u32 = 4; // from which a class's usual remaining deadline counts as known
-const VOTES_MOST: u32 = 16; // counted at most, so that a change is noticed
+/// Fraction of its class's deadline by which a remaining deadline may differ and still count as the same: the network
+/// takes some of it.
+const DEADLINE_TOLERANCE: f64 = 0.01;
+/// Requests with the same remaining deadline, less those with another, from which it counts as the usual one of a class.
+const VOTES_KNOWN: u32 = 4;
+/// The most of these that are counted, so that a change of the usual deadline is noticed.
+const VOTES_MOST: u32 = 16;
 
 /// The quotas of all tenants, and what is known of their clients' deadlines.
 pub(super) struct Admission {
--- a/crates/routing-policy/src/policy/attempts.rs
+++ b/crates/routing-policy/src/policy/attempts.rs
@@ -1,16 +1,30 @@
 //! Attempts: sending, outcomes, retries on a budget, hedging, and idempotency.
 
-use super::*;
+use super::Policy;
+use crate::interface::{
+    Action, AttemptOutcome, AttemptStatus, EndpointState, Idempotency, Micros, RequestId, ServerId,
+    Settings,
+};
+use crate::state::{Attempt, AttemptId, CallKind, InFlightRequest, Server, Timer};
 
-const SLOW_FRACTION: f64 = 0.4; // of its objective; an attempt is slow after that, nearly late after twice
-/// The budget for retries of what may have run and for hedged requests:
+/// Fraction of its latency objective after which an attempt is slow; after twice that it is nearly late.
+const SLOW_FRACTION: f64 = 0.4;
+/// What each request adds to the budget for hedged requests and for retries of what may have run, in retries.
 pub(super) const RETRIES_PER_REQUEST: f64 = 0.05;
-pub(super) const MOST_RETRIES: f64 = 5.0; // at once
+/// The most retries that the budget holds.
+pub(super) const MOST_RETRIES: f64 = 5.0;
+/// What a hedged request, or a retry of what may still run, takes from the budget, in retries.
 const RETRY_COST: f64 = 1.0;
-const WINDOW_MARGIN_TICKS: Micros = 2; // before a deduplication window ends, nothing is sent again
-const SERVICE_TIME_WEIGHT: f64 = 0.1; // of an answer
-const FASTEST_TIME_WEIGHT: f64 = 0.02; // of a slower answer: it measures the network, not chance and queues
-const CONNECTION_COST_ROUTERS: f64 = 100.0; // the costs of connections are those of one in so many
+/// Ticks before the end of a deduplication window from which nothing is sent again: a timer may be a tick late, and the
+/// server's window may have begun a tick earlier.
+const WINDOW_MARGIN_TICKS: Micros = 2;
+/// Weight of an answer in the smoothed service time.
+const SERVICE_TIME_WEIGHT: f64 = 0.1;
+/// Weight of an answer in its server's fastest time, where it is slower than that: the fastest time measures the
+/// network, not chance and queues. A faster answer replaces it.
+const FASTEST_TIME_WEIGHT: f64 = 0.02;
+/// The settings give the costs of connections as those of one router among so many.
+const CONNECTION_COST_ROUTERS: f64 = 100.0;
 
 /// Kept open by all routers, a connection may cost more than it saves: whatever the traffic, the cost of
 /// keeping it grows with their number and the cost of opening it again does not.
--- a/crates/routing-policy/src/policy/origin_limiter.rs
+++ b/crates/routing-policy/src/policy/origin_limiter.rs
@@ -1,26 +1,45 @@
 //! The limiter of origin calls: a cap on those outstanding, a windowed tally, and deferral at capacity.
 
-use super::*;
-
-const MOST_OUTSTANDING_CALLS: f64 = 20.0; // of one router; it starts from half
-/// So many routers may each have that much and the least rate; more of them share what these have together, as
-/// the origin bears the sum. Not fewer: one with only a call or two at a time must find room in spite of chance.
+use super::{Policy, REVIEW_KEEP, REVIEW_LEAST};
+use crate::interface::{Action, AttemptStatus, Micros, RequestId, Settings};
+use crate::log_event::LogEvent;
+use crate::state::{
+    Attempt, CallKind, Crossing, DecayingRatio, Deferral, OriginCalls, SmoothedTime, Timer,
+};
+
+/// The most calls that one router has outstanding. It starts with half of them.
+const MOST_OUTSTANDING_CALLS: f64 = 20.0;
+/// So many routers may each have the most outstanding calls and the least rate; more of them share what these have
+/// together, as the origin bears the sum. It is not fewer, since a router with only a call or two at a time has to find
+/// room in spite of chance.
 const ROUTERS_AT_FULL_LIMIT: f64 = 15.0;
-const LEAST_CALLS_PER_S: f64 = 30.0; // that a router may make, whatever its request rate
-/// The tally's window as a fraction of the longest objective, short enough that a burst over it can still wait;
-/// longer where a router has so small a share that chance would overrun it, up to the second, microseconds.
+/// Calls per second that a router may make, whatever its request rate.
+const LEAST_CALLS_PER_S: f64 = 30.0;
+/// The window of the tally, as a fraction of the longest latency objective: short enough that a burst over it can still
+/// wait. It is longer where a router has so small a share that chance would overrun it.
 const WINDOW_FRACTION: f64 = 0.25;
+/// The longest window of the tally, in microseconds.
 const LONGEST_WINDOW_US: f64 = 1e6;
-const FETCH_FRACTION: f64 = 0.7; // of both limits; writes have the rest for themselves
-const CAP_CUT_FACTOR: f64 = 0.8; // at a sign of congestion
-const CAP_FLOOR_FRACTION: f64 = 0.1; // of an equal share's ceiling
-const LOGGED_CAP_FRACTION: f64 = 0.25; // of its ceiling; the cap is logged when it crosses that
-const SLOW_FRACTION: f64 = 0.8; // of the shortest objective; a later answer is a sign of congestion
-const CONGESTED_FRACTION: f64 = 0.05; // of the calls; the origin is short of capacity when so many find no room
-const FETCH_TIME_WEIGHT: f64 = 0.1; // of an answer in the usual time of a fetch
-const FETCH_TIME_DECAY: f64 = 0.98; // at each fetch not made, as the origin may have become quicker
-/// A deferral lasts a random fraction of the objective between these (1 s and 3 s of 60).
+/// Fraction of the cap and of the tally that fetches may use; writes have the rest for themselves.
+const FETCH_FRACTION: f64 = 0.7;
+/// Factor of the cap at a sign of congestion.
+const CAP_CUT_FACTOR: f64 = 0.8;
+/// The lowest cap, as a fraction of the most calls of an equal share.
+const CAP_FLOOR_FRACTION: f64 = 0.1;
+/// Fraction of its ceiling at which the cap is logged when it crosses it.
+const LOGGED_CAP_FRACTION: f64 = 0.25;
+/// Fraction of the shortest latency objective after which an answer is a sign of congestion.
+const SLOW_FRACTION: f64 = 0.8;
+/// The origin is short of capacity while this fraction of the calls finds the limiter at capacity.
+const CONGESTED_FRACTION: f64 = 0.05;
+/// Weight of an answer in the usual time of a fetch.
+const FETCH_TIME_WEIGHT: f64 = 0.1;
+/// Factor of the usual time of a fetch at each fetch that is not made for it: the origin may have become quicker.
+const FETCH_TIME_DECAY: f64 = 0.98;
+/// The shortest deferral, as a fraction of the latency objective: 1 s of 60 s.
 const SHORTEST_DEFERRAL: f64 = 1.0 / 60.0;
+/// The longest deferral, as a fraction of the latency objective: 3 s of 60 s. A random time between the two keeps
+/// deferred calls from coming back together.
 const LONGEST_DEFERRAL: f64 = 3.0 / 60.0;
 
 /// The limits on this router's calls to the origin.
--- a/crates/routing-policy/src/policy/outlier.rs
+++ b/crates/routing-policy/src/policy/outlier.rs
@@ -1,13 +1,19 @@
 //! Ejection of servers that fail several times in a row, and their return.
 
-use super::*;
+use super::Policy;
+use crate::interface::{Action, Micros, ServerId};
+use crate::log_event::LogEvent;
+use crate::state::{Attempt, Ejection, Server};
 
-const FAILURES_TO_EJECT: u32 = 3; // with no answer between them
-/// A server is ejected for this multiple of the longest objective, doubled each time up to the second, or to
-/// the third where it refuses connections: a late list names servers that were removed, and each trial of one
-/// costs a request an attempt. What returns stays ejected for about as long as it was away.
+/// Failures with no answer between them after which a server is ejected.
+const FAILURES_TO_EJECT: u32 = 3;
+/// How long a server is ejected first, as a multiple of the longest latency objective. The time is doubled at each
+/// ejection that follows.
 const SHORTEST_EJECTION: f64 = 1.0;
+/// How long it is ejected at most, as a multiple of the longest latency objective.
 const LONGEST_EJECTION: f64 = 8.0;
+/// The same for a server that refuses connections: a late list names servers that were removed, and each trial of one
+/// costs a request an attempt. What returns stays ejected for about as long as it was away.
 const LONGEST_EJECTION_UNREACHABLE: f64 = 64.0;
 
 impl Policy {
--- a/crates/routing-policy/src/policy/overload.rs
+++ b/crates/routing-policy/src/policy/overload.rs
@@ -1,27 +1,39 @@
 //! Signs of overload, and what is shed for them: tenants beyond their quotas, keys of overloaded servers.
 
-use super::*;
+use super::{Policy, REVIEW_KEEP, REVIEW_LEAST};
+use crate::interface::{Action, Micros, ServerId};
+use crate::log_event::LogEvent;
+use crate::state::{Crossing, DecayingRatio, KeyShare};
 
-/// Signs per attempt (rejected or nearly late is one, slow a half) from which tenants are held
-const OVERLOADED_SIGNS: f64 = 0.06; // closer to their quotas,
-const COLLAPSING_SIGNS: f64 = 0.55; // and even below them
-/// Multiple of the quotas that fills the buckets:
-const LOWEST_MULTIPLIER: f64 = 0.25; // a collapsed fleet recovers half idle
-const NEUTRAL_MULTIPLIER: f64 = 1.0; // a router starts with the quotas themselves
-const HIGHEST_MULTIPLIER: f64 = 4.0; // no tenant is limited
-const MULTIPLIER_CUT_FACTOR: f64 = 0.92; // at a review under overload,
-const MULTIPLIER_GROWTH_FACTOR: f64 = 1.04; // and at any other
-/// These are whole from so many attempts judged since the last review: one of many routers sees few.
+/// Signs of overload per attempt from which tenants are held closer to their quotas. An attempt that is rejected or nearly
+/// late is one sign, a slow one half a sign.
+const OVERLOADED_SIGNS: f64 = 0.06;
+/// Signs of overload per attempt from which tenants are held even below their quotas.
+const COLLAPSING_SIGNS: f64 = 0.55;
+/// The lowest multiple of the quotas that fills the tenants' buckets: a collapsed fleet recovers when it is half idle.
+const LOWEST_MULTIPLIER: f64 = 0.25;
+/// The multiple with which a router starts: the quotas themselves.
+const NEUTRAL_MULTIPLIER: f64 = 1.0;
+/// The highest multiple, at which no tenant is limited.
+const HIGHEST_MULTIPLIER: f64 = 4.0;
+/// Factor of the multiple at a review under overload.
+const MULTIPLIER_CUT_FACTOR: f64 = 0.92;
+/// Factor of the multiple at any other review.
+const MULTIPLIER_GROWTH_FACTOR: f64 = 1.04;
+/// Attempts judged since the last review from which these factors apply in full: one of many routers sees few.
 const FULL_STEP_ATTEMPTS: f64 = 5.0;
-/// Share of its keys that a server is left; cut and growth balance where about a twentieth is late. One of many
-/// routers meets it less often and takes larger steps, as the root of their number: chance in them evens out.
-const KEY_SHARE_FACTOR: f64 = 0.8; // at each attempt that it is nearly late with or rejects
-const KEY_SHARE_GROWTH: f64 = 0.01; // added by an answer in good time
+/// Factor of a server's key share, the part of its keys that it is left, at each attempt that it rejects or is nearly
+/// late with. Cut and growth balance where about a twentieth is late. One of many routers meets the server less often and
+/// takes larger steps, by the root of their number, since chance in them evens out.
+const KEY_SHARE_FACTOR: f64 = 0.8;
+/// What an answer in good time adds to a server's key share.
+const KEY_SHARE_GROWTH: f64 = 0.01;
+/// The least key share.
 const KEY_SHARE_LEAST: f64 = 0.05;
-/// Step for a machine kind, relative to a server's, as all servers of the kind take part in it. It shrinks
-/// from a whole one to that over so many attempts: a router begins with nothing, often together with most
-/// others, and until it knows the kinds it overloads the weak ones.
+/// Step of the key share of a machine kind, relative to a server's, as all servers of the kind take part in it.
 const KIND_STEP: f64 = 0.25;
+/// Attempts over which a kind's step shrinks from a whole one to that: a router begins with nothing, often together with
+/// most others, and until it knows the kinds it overloads the weak ones.
 const KIND_STEP_ATTEMPTS: f64 = 24.0;
 /// A server has all its keys again after this multiple of the longest objective at the latest: one left with
 /// few keys has few answers to show that it keeps up.
--- a/crates/routing-policy/src/policy/requests.rs
+++ b/crates/routing-policy/src/policy/requests.rs
@@ -1,10 +1,13 @@
 //! Requests: arrival, next call, final answer.
 
+use super::Policy;
 use super::attempts::{MOST_RETRIES, RETRIES_PER_REQUEST};
 use super::slow_start::HOT_KEY_REQUESTS;
-use super::*;
+use crate::interface::{Action, Micros, Request, RequestId};
+use crate::state::{AttemptId, CallKind, InFlightRequest, Timer};
 
-const MARGIN_TICKS: Micros = 2; // at which a request ends before its time is up, as a timer may come late
+/// Ticks before its time is up at which a request ends, as a timer may come late.
+const MARGIN_TICKS: Micros = 2;
 
 impl Policy {
     /// Takes in a request, or rejects it at once.
