--- /dev/null
+++ b/crates/acceptance/src/margins/findings.rs
@@ -0,0 +1,171 @@
+//! What the evaluation of a run finds for each rule.
+
+use std::collections::BTreeMap;
+
+use crate::trace::{Micros, RuleParameters};
+
+/// The margins of one run.
+#[derive(Debug)]
+pub struct Margins {
+    /// The settings that the rules are stated in.
+    pub parameters: RuleParameters,
+    /// The load on restarted servers while they warmed up.
+    pub slow_start: SlowStart,
+    /// The latest send to a server that the node was notified is draining or removed.
+    pub send_after_drain: Option<SendAfterDrain>,
+    /// The longest that a node was not notified that a server is draining or removed.
+    pub notification_delay: Option<NotificationDelay>,
+    /// The latest final answer.
+    pub latest_answer: Option<AnswerLateness>,
+    /// Requests that were read and never answered in time.
+    pub lost_requests: LostRequests,
+    /// What a warm server of each kind can do.
+    pub capacity: BTreeMap<i64, Capacity>,
+    /// Final answers, by how they ended.
+    pub outcomes: BTreeMap<String, u64>,
+    /// Calls to discovery.
+    pub discovery_calls: DiscoveryCalls,
+    /// Lines of the traces that could not be read.
+    pub broken_lines: BrokenLines,
+    /// What the recording does not show.
+    pub gaps: Vec<Gap>,
+}
+
+/// The load on restarted servers while they warmed up.
+#[derive(Debug, Clone, Default, PartialEq)]
+pub struct SlowStart {
+    /// The worst window of each start of a server that received attempts, the worst first.
+    pub worst_windows: Vec<SlowStartWindow>,
+    /// Starts of servers that received attempts, of kinds whose capacity is unknown: no warm server of them answered.
+    pub starts_of_unknown_capacity: usize,
+}
+
+/// The attempts that one server which was warming up received in a window, from all nodes together.
+#[derive(Debug, Clone, PartialEq)]
+pub struct SlowStartWindow {
+    /// Id of the server.
+    pub server: u32,
+    /// Kind of the server.
+    pub kind: i64,
+    /// End of the window, in microseconds after the server's start.
+    pub age: Micros,
+    /// Attempts in the window.
+    pub attempts: usize,
+    /// The attempts beyond which the server collapses.
+    pub budget: f64,
+    /// How many of the attempts came from nodes that had been notified of this start.
+    pub notified_attempts: usize,
+    /// How many nodes sent them.
+    pub nodes: usize,
+    /// How many of these had been notified of this start.
+    pub notified_nodes: usize,
+    /// How many of the attempts the server answered, as far as their outcomes show.
+    pub answered: usize,
+}
+
+impl SlowStartWindow {
+    /// The attempts as a part of the budget.
+    pub fn load(&self) -> f64 {
+        self.attempts as f64 / self.budget
+    }
+}
+
+/// A send to a server that was draining or removed.
+#[derive(Debug, Clone, PartialEq)]
+pub struct SendAfterDrain {
+    /// Id of the server.
+    pub server: u32,
+    /// Number of the sending node.
+    pub node: u32,
+    /// Time since the node was notified or counts as notified, in microseconds.
+    pub elapsed: Micros,
+    /// Whether the node's own list had it.
+    pub in_own_list: bool,
+}
+
+/// How long a node was not notified that a server is draining or removed, since another node was or since its own
+/// process started.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct NotificationDelay {
+    /// The delay, in microseconds.
+    pub delay: Micros,
+    /// Number of the node.
+    pub node: u32,
+}
+
+/// A final answer and its deadline.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct AnswerLateness {
+    /// How long after the request's deadline it was, in microseconds; negative before it.
+    pub lateness_us: i64,
+    /// The client's name for the request.
+    pub client_name: String,
+}
+
+/// Requests that were read, on whatever connection, and not answered in time, by what became of them.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct LostRequests {
+    /// The process went on past the time of its answer and never gave one.
+    pub never_answered: u64,
+    /// Open where the trace of their process ends, and nothing shows why it ended. These do not count as lost.
+    pub undetermined: u64,
+}
+
+impl LostRequests {
+    /// All that are lost for certain.
+    pub fn total(&self) -> u64 {
+        self.never_answered
+    }
+}
+
+/// What a warm server of one kind can do.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct Capacity {
+    /// Attempts that it answers in a second.
+    pub attempts_per_s: f64,
+    /// Whether this was seen while servers of the kind had more to do than they could. Otherwise they can do more.
+    pub seen_busy: bool,
+}
+
+/// Calls to discovery.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct DiscoveryCalls {
+    /// All calls.
+    pub total: u64,
+    /// Those that failed.
+    pub failed: u64,
+}
+
+/// Lines of a trace that could not be read.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
+pub struct BrokenLines {
+    /// How many there are.
+    pub count: u64,
+    /// The first of them.
+    pub first: String,
+}
+
+impl BrokenLines {
+    /// Counts one more.
+    pub(super) fn add(&mut self, line: &str) {
+        if self.count == 0 {
+            self.first = line.into();
+        }
+        self.count += 1;
+    }
+}
+
+/// Something that the rules depend on and a recording does not show.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Gap {
+    /// No trace tells the work of a request.
+    WorkOfRequests,
+    /// No trace tells when discovery itself had a change.
+    TimeAtDiscovery,
+    /// No trace tells of a new configuration.
+    Reconfiguration,
+    /// No trace tells when bytes left the node.
+    TimeOfBytes,
+    /// The traces do not tell by what a process ended.
+    EndOfProcess,
+}
--- /dev/null
+++ b/crates/acceptance/src/margins/limits.rs
@@ -0,0 +1,20 @@
+//! The limits of the operators' rules, as their present page states them.
+
+use crate::trace::Micros;
+
+/// A change counts as notified this long after discovery had it and could be reached.
+pub(super) const NOTIFIED_AFTER: Micros = 6_000_000;
+/// A final answer counts as lost this long after its request's deadline.
+pub(super) const ANSWER_LOST_AFTER: Micros = 500_000;
+/// Time limits of the older rules are longer by this where the test runs on sockets.
+pub(super) const SOCKET_ALLOWANCE: Micros = 50_000;
+/// The slow-start budget: with more requests than this in the window of the settings, all nodes together, a server that
+/// is warming up collapses. `allowed` is the number that the settings allow it then.
+pub(super) fn slow_start_budget(allowed: f64) -> f64 {
+    allowed + 3.0 * allowed.sqrt() + 3.0
+}
+
+/// Whether so many of some attempts from notified nodes make them answerable for a collapse: two thirds.
+pub(super) fn is_blamed_on_notified(notified_attempts: usize, attempts: usize) -> bool {
+    notified_attempts * 3 >= attempts * 2
+}
--- a/crates/acceptance/src/margins/mod.rs
+++ b/crates/acceptance/src/margins/mod.rs
@@ -1,22 +1,33 @@
 //! How far a run of the fleet test stayed from the limits of its rules, from the traces of its nodes: load on servers
-//! that are warming up, sends to servers that are draining, delay of notifications, and lateness of final answers.
+//! that are warming up, sends to servers that are draining, delay of notifications, and lost requests.
 //!
-//! [`measure`] reads the logs of a run into a recording, evaluates the recording and returns [`Margins`].
+//! [`measure`] reads the logs of a run into a recording, evaluates the recording and returns [`Margins`]. Imports go in
+//! that order: `process` fills the `recording`, the evaluation reads it, `report` and `table` print the `findings`;
+//! `limits` and `findings` import nothing of the others.
 
+mod capacity;
+mod endpoint_list;
 mod evaluation;
+mod findings;
+mod limits;
+mod lost_requests;
+mod notification;
 mod process;
 mod recording;
 mod report;
+mod slow_start;
+mod table;
 
 use std::io::BufRead;
 use std::path::{Path, PathBuf};
 
+pub use self::findings::{
+    AnswerLateness, BrokenLines, Capacity, DiscoveryCalls, Gap, LostRequests, Margins,
+    NotificationDelay, SendAfterDrain, SlowStart, SlowStartWindow,
+};
 use self::process::ProcessRecorder;
 use self::recording::Recording;
-pub use self::report::{
-    AnswerLateness, BrokenLines, Capacity, DiscoveryCalls, Margins, NotificationDelay,
-    SendAfterDrain, WarmUpLoad,
-};
+pub use self::table::{LEGEND, TABLE_HEAD};
 
 /// Why a run has no margins.
 #[derive(Debug, thiserror::Error)]
@@ -81,6 +92,5 @@
         process.read_line(&String::from_utf8_lossy(&line), recording);
         line.clear();
     }
-    process.end(recording);
     Ok(())
 }
--- a/crates/acceptance/src/margins/process.rs
+++ b/crates/acceptance/src/margins/process.rs
@@ -2,36 +2,14 @@
 
 use std::collections::HashMap;
 
-use super::recording::{RecordedSend, Recording, UnreadyNotification};
-use super::report::{ANSWER_LOST_AFTER_US, AnswerLateness};
+use super::endpoint_list::{EndpointList, ReceivedList};
+use super::recording::{
+    RecordedProcess, RecordedRequest, RecordedSend, Recording, RequestState, UnreadyNotification,
+};
 use crate::trace::{self, BrokenLine, ListedServer, Micros, RuleParameters, TraceEvent, TraceLine};
 
-/// What a node's list says of a server.
-#[derive(Debug, Default, Clone, Copy)]
-struct KnownServer {
-    /// Its last start; 0 for long ago.
-    started: Micros,
-    /// Since when it is not ready, if it is not.
-    unready_since: Option<Micros>,
-}
-
-/// A complete list that is being read.
-#[derive(Debug)]
-struct CompleteList {
-    received: Micros,
-    /// The servers that it has named so far.
-    named: Vec<u32>,
-}
-
-/// A request without a final answer.
-#[derive(Debug)]
-struct OpenRequest {
-    deadline: Micros,
-    client_name: String,
-}
-
 /// An attempt, as the lines of one process name it.
-#[derive(Debug, PartialEq, Eq, Hash)]
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct AttemptId {
     request: u64,
     attempt: u16,
@@ -42,14 +20,13 @@
 pub(super) struct ProcessRecorder {
     node: u32,
     started: Micros,
-    servers: HashMap<u32, KnownServer>,
-    complete_list: Option<CompleteList>,
-    /// Whether the list that is being read is the saved one that a process starts with, which notifies of nothing.
-    list_is_cached: bool,
-    open_requests: HashMap<u64, OpenRequest>,
+    /// Index of the process among all that are recorded, once a line of it was read.
+    process: Option<usize>,
+    list: EndpointList,
+    /// Indices of the requests among all recorded ones.
+    requests: HashMap<u64, usize>,
     /// Indices of the attempts in flight among all recorded sends.
     attempts_in_flight: HashMap<AttemptId, usize>,
-    last_line: Micros,
 }
 
 impl ProcessRecorder {
@@ -70,19 +47,30 @@
         if let TraceEvent::Started(parameters) = line.event {
             self.restart(line.at, parameters, recording);
         }
-        self.last_line = line.at;
+        let process = self.process(line.at, recording);
+        process.last_line = process.last_line.max(line.at);
         match line.event {
-            TraceEvent::Started(_) => {}
-            TraceEvent::ListReceived { complete, cached } => {
-                self.begin_list(line.at, complete, cached);
-            }
+            TraceEvent::ListReceived { complete, cached } => self.list.begin(ReceivedList {
+                at: line.at,
+                is_complete: complete,
+                is_cached: cached,
+            }),
             TraceEvent::ListedServer(server) => self.record_server(line.at, server, recording),
+            TraceEvent::DiscoveryCalled => recording.discovery_calls.total += 1,
+            TraceEvent::DiscoveryFailed => recording.discovery_calls.failed += 1,
+            _ => self.record_request_line(line, recording),
+        }
+    }
+
+    /// Takes a line about a request or an attempt.
+    fn record_request_line(&mut self, line: &TraceLine<'_>, recording: &mut Recording) {
+        match line.event {
             TraceEvent::RequestReceived {
                 request,
                 remaining,
                 client_name,
                 ..
-            } => self.record_request(request, line.at + remaining, client_name),
+            } => self.record_request(line.at, request, remaining, client_name, recording),
             TraceEvent::AttemptSent {
                 request,
                 attempt,
@@ -94,81 +82,60 @@
                 server,
                 status,
             } => {
-                let send = self
-                    .attempts_in_flight
-                    .remove(&AttemptId { request, attempt });
+                let id = AttemptId { request, attempt };
+                let send = self.attempts_in_flight.remove(&id);
                 record_outcome(line.at, send, server, status, recording);
             }
             TraceEvent::RequestEnded {
                 request,
                 outcome,
                 lateness_us,
-            } => self.record_answer(request, outcome, lateness_us, recording),
-            TraceEvent::DiscoveryCalled => recording.discovery_calls.total += 1,
-            TraceEvent::DiscoveryFailed => recording.discovery_calls.failed += 1,
+            } => self.record_end(request, outcome, lateness_us, recording),
+            _ => {}
         }
     }
 
-    /// Ends the process before this one, if there was one, and begins anew.
+    /// Begins anew with another process, which replaces the one before it, if there was one.
     fn restart(&mut self, at: Micros, parameters: RuleParameters, recording: &mut Recording) {
-        self.end(recording);
         *self = ProcessRecorder {
             node: parameters.node,
             started: at,
             ..ProcessRecorder::default()
         };
+        self.process(at, recording);
         recording.parameters = Some(parameters);
     }
 
-    fn begin_list(&mut self, at: Micros, complete: bool, cached: bool) {
-        self.complete_list = complete.then(|| CompleteList {
-            received: at,
-            named: Vec::new(),
-        });
-        self.list_is_cached = cached;
+    /// The process, which a log that begins in the middle of a trace does not introduce.
+    fn process<'a>(&mut self, at: Micros, recording: &'a mut Recording) -> &'a mut RecordedProcess {
+        let index = *self.process.get_or_insert(recording.processes.len());
+        if index == recording.processes.len() {
+            recording.processes.push(RecordedProcess { last_line: at });
+        }
+        &mut recording.processes[index]
     }
 
     fn record_server(&mut self, at: Micros, server: ListedServer, recording: &mut Recording) {
-        if let Some(list) = &mut self.complete_list {
-            list.named.push(server.id);
-        }
         recording.kinds.insert(server.id, server.kind);
-        if !self.list_is_cached {
+        if !self.list.is_cached() {
             record_start(at, server, recording);
         }
-        let known = self.servers.entry(server.id).or_default();
-        known.started = known.started.max(server.started);
-        let was_unready_since = known.unready_since;
-        known.unready_since = (!server.ready).then(|| was_unready_since.unwrap_or(at));
-        if !server.ready && was_unready_since.is_none() {
+        if self.list.set(at, server) {
             self.record_unready(server.id, at, recording);
         }
     }
 
     /// Servers that a complete list has not named are removed.
     fn end_list(&mut self, recording: &mut Recording) {
-        let Some(CompleteList { received, named }) = self.complete_list.take() else {
-            return;
-        };
-        let mut removed = Vec::new();
-        for (server, known) in &mut self.servers {
-            if named.contains(server) || known.unready_since.is_some() {
-                continue;
-            }
-            known.unready_since = Some(received);
-            removed.push(*server);
-        }
-        for server in removed {
-            self.record_unready(server, received, recording);
+        let removal = self.list.end();
+        for server in removal.servers {
+            self.record_unready(server, removal.received, recording);
         }
     }
 
     fn record_unready(&self, server: u32, at: Micros, recording: &mut Recording) {
-        recording
-            .unready_notifications
-            .entry(server)
-            .or_default()
-            .push(at);
+        let times = recording.unready_notifications.entry(server).or_default();
+        times.push(at);
         recording.notifications.push(UnreadyNotification {
             server,
             at,
@@ -177,16 +144,34 @@
         });
     }
 
-    fn record_request(&mut self, request: u64, deadline: Micros, client_name: &str) {
-        let open = OpenRequest {
-            deadline,
+    fn request<'a>(
+        &self,
+        id: u64,
+        recording: &'a mut Recording,
+    ) -> Option<&'a mut RecordedRequest> {
+        let index = *self.requests.get(&id)?;
+        recording.requests.get_mut(index)
+    }
+
+    fn record_request(
+        &mut self,
+        at: Micros,
+        id: u64,
+        remaining: Micros,
+        client_name: &str,
+        recording: &mut Recording,
+    ) {
+        self.requests.insert(id, recording.requests.len());
+        recording.requests.push(RecordedRequest {
+            process: self.process.unwrap_or_default(),
             client_name: client_name.into(),
-        };
-        self.open_requests.insert(request, open);
+            deadline: at + remaining,
+            state: RequestState::Open,
+        });
     }
 
     fn record_send(&mut self, at: Micros, id: AttemptId, server: u32, recording: &mut Recording) {
-        let known = self.servers.get(&server).copied().unwrap_or_default();
+        let known = self.list.server(server);
         self.attempts_in_flight.insert(id, recording.sends.len());
         recording.sends.push(RecordedSend {
             at,
@@ -198,54 +183,26 @@
         });
     }
 
-    fn record_answer(
-        &mut self,
-        request: u64,
-        outcome: &str,
-        lateness_us: i64,
-        recording: &mut Recording,
-    ) {
-        let open = self.open_requests.remove(&request);
+    fn record_end(&self, id: u64, outcome: &str, lateness_us: i64, recording: &mut Recording) {
         *recording.outcomes.entry(outcome.into()).or_default() += 1;
-        let latest = recording.latest_answer.as_ref();
-        let latest_us = latest.map_or(i64::MIN, |answer| answer.lateness_us);
-        // Nobody waits for the answer of a client that has disconnected.
-        if outcome == "gone" || lateness_us <= latest_us {
+        let Some(request) = self.request(id, recording) else {
             return;
-        }
-        if let Some(open) = open {
-            recording.latest_answer = Some(AnswerLateness {
-                lateness_us,
-                client_name: open.client_name,
-            });
-        }
-    }
-
-    /// Counts the requests that were never answered: those whose deadline the process outlived. What a killed process
-    /// had in flight is sent again by its clients and does not count.
-    pub(super) fn end(&mut self, recording: &mut Recording) {
-        let lost = |request: &&OpenRequest| {
-            request.deadline + ANSWER_LOST_AFTER_US.unsigned_abs() < self.last_line
         };
-        recording.unanswered += self.open_requests.values().filter(lost).count() as u64;
-        self.open_requests.clear();
+        if outcome == "gone" {
+            request.state = RequestState::Departed;
+        } else {
+            request.state = RequestState::Answered { lateness_us };
+        }
     }
 }
 
 fn record_start(at: Micros, server: ListedServer, recording: &mut Recording) {
-    let first_heard = recording
-        .starts
-        .entry(server.id)
-        .or_default()
-        .entry(server.started)
-        .or_insert(at);
+    let starts = recording.starts.entry(server.id).or_default();
+    let first_heard = starts.entry(server.started).or_insert(at);
     *first_heard = (*first_heard).min(at);
     if server.ready {
-        recording
-            .ready_notifications
-            .entry(server.id)
-            .or_default()
-            .push(at);
+        let times = recording.ready_notifications.entry(server.id).or_default();
+        times.push(at);
     }
 }
 
--- a/crates/acceptance/src/margins/recording.rs
+++ b/crates/acceptance/src/margins/recording.rs
@@ -2,11 +2,37 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::report::{AnswerLateness, BrokenLines, DiscoveryCalls};
+use super::findings::{BrokenLines, DiscoveryCalls};
+use super::limits::NOTIFIED_AFTER;
 use crate::trace::{Micros, RuleParameters};
 
-/// By the protocol every node counts as notified of what discovery has to report after this time.
-pub(super) const NOTIFIED_AFTER: Micros = 6_000_000;
+/// A process of a node.
+#[derive(Debug)]
+pub(super) struct RecordedProcess {
+    /// When its last line was written.
+    pub(super) last_line: Micros,
+}
+
+/// What became of a request, as far as its node tells.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum RequestState {
+    /// It has no final answer.
+    Open,
+    /// It has its final answer, so long after its deadline.
+    Answered { lateness_us: i64 },
+    /// Its client has departed.
+    Departed,
+}
+
+/// A request that a node has read.
+#[derive(Debug)]
+pub(super) struct RecordedRequest {
+    /// Index of the process.
+    pub(super) process: usize,
+    pub(super) client_name: String,
+    pub(super) deadline: Micros,
+    pub(super) state: RequestState,
+}
 
 /// An attempt that was sent.
 #[derive(Debug)]
@@ -38,7 +64,7 @@
     /// When it started; 0 for long ago.
     pub(super) at: Micros,
     /// Whether the sending node knew of it or counts as notified.
-    pub(super) node_informed: bool,
+    pub(super) is_node_notified: bool,
 }
 
 /// Times of events, for each server.
@@ -49,6 +75,8 @@
 pub(super) struct Recording {
     /// The settings, as the process that was read last has them.
     pub(super) parameters: Option<RuleParameters>,
+    pub(super) processes: Vec<RecordedProcess>,
+    pub(super) requests: Vec<RecordedRequest>,
     pub(super) sends: Vec<RecordedSend>,
     /// The kind of each server.
     pub(super) kinds: HashMap<u32, i64>,
@@ -66,9 +94,6 @@
     pub(super) rejections: TimesByServer,
     /// Final answers, by how they ended.
     pub(super) outcomes: BTreeMap<String, u64>,
-    pub(super) latest_answer: Option<AnswerLateness>,
-    /// Requests that were never answered.
-    pub(super) unanswered: u64,
     pub(super) discovery_calls: DiscoveryCalls,
     pub(super) broken_lines: BrokenLines,
 }
@@ -84,7 +109,7 @@
         ] {
             times.values_mut().for_each(|times| times.sort_unstable());
         }
-        self.sends.sort_unstable_by_key(|send| send.at);
+        self.sends.sort_by_key(|send| send.at);
     }
 
     pub(super) fn kind_of(&self, server: u32) -> i64 {
@@ -107,7 +132,7 @@
         let (start, first_heard) = last.map_or((0, 0), |(start, heard)| (*start, *heard));
         KnownStart {
             at: start,
-            node_informed: send.known_start >= start || send.at >= first_heard + NOTIFIED_AFTER,
+            is_node_notified: send.known_start >= start || send.at >= first_heard + NOTIFIED_AFTER,
         }
     }
 
--- a/crates/acceptance/tests/margins.rs
+++ b/crates/acceptance/tests/margins.rs
@@ -9,8 +9,8 @@
 use std::fs;
 
 use acceptance::margins::{
-    self, AnswerLateness, BrokenLines, Capacity, Margins, MarginsError, NotificationDelay,
-    SendAfterDrain,
+    self, AnswerLateness, BrokenLines, Capacity, LostRequests, Margins, MarginsError,
+    NotificationDelay, SendAfterDrain,
 };
 use tempfile::TempDir;
 
@@ -85,21 +85,21 @@
             seen_busy: true
         }
     );
-    let load = margins.warm_up_load.clone().unwrap();
+    let load = margins.slow_start.worst_windows[0].clone();
     // The window ends with the last of the crowd, 1.977 s after the start.
     let allowed: f64 = 2.5 * 10.0 * (0.2 + 0.8 * 0.977 / 20.0) * 2.0;
     assert_eq!(
-        (load.server, load.age, load.attempts, load.informed_attempts),
+        (load.server, load.age, load.attempts, load.notified_attempts),
         (2, 1_977_000, 22, 18)
     );
-    assert_eq!(load.answered, 4);
-    let collapse_limit = allowed + 3.0 * allowed.sqrt() + 3.0;
-    assert!((load.load - 22.0 / collapse_limit).abs() < 1e-9, "{load:?}");
+    assert_eq!((load.answered, load.nodes, load.notified_nodes), (4, 2, 1));
+    let budget = allowed + 3.0 * allowed.sqrt() + 3.0;
+    assert!((load.budget - budget).abs() < 1e-9, "{load:?}");
     assert!(margins.is_narrow());
     let table = margins.table("join");
     assert!(
         table.contains(
-            "| join | cold server | 0.87 of its fall | 1.00 of its fall | 13% (narrow) |"
+            "| join | slow start | 0.87 of the budget | 1.00 of the budget | 13% (narrow) |"
         ),
         "{table}"
     );
@@ -183,7 +183,11 @@
             client_name: "c5".into()
         })
     );
-    assert_eq!(margins.unanswered, 1);
+    let lost = LostRequests {
+        never_answered: 1,
+        undetermined: 1,
+    };
+    assert_eq!((margins.lost_requests, lost.total()), (lost, 1));
     assert!(margins.is_narrow());
 }
 
@@ -220,7 +224,7 @@
             first: "trace 12 send 1".into()
         }
     );
-    assert_eq!(margins.warm_up_load, None);
+    assert_eq!(margins.slow_start.worst_windows, []);
     let (_folder, margins) = measured(&["cache-router: listening on trace 12\n".into()]);
     let error = margins.unwrap_err().to_string();
     assert!(error.starts_with("no trace in "), "{error}");
--- a/crates/routerctl/src/commands/margins.rs
+++ b/crates/routerctl/src/commands/margins.rs
@@ -19,9 +19,7 @@
 }
 
 pub fn run(arguments: &Arguments) -> CommandResult {
-    let mut table = String::from(
-        "| run | figure | worst | limit | distance |\n| --- | --- | --- | --- | --- |\n",
-    );
+    let mut table = String::from(margins::TABLE_HEAD);
     let mut any_narrow = false;
     for folder in &arguments.runs {
         let name = folder
@@ -36,5 +34,8 @@
         table += &margins.table(&name);
     }
     print!("{table}");
+    if !arguments.table {
+        print!("\n{}", margins::LEGEND);
+    }
     Ok(Outcome::passed_if(!any_narrow))
 }
