--- a/crates/acceptance/src/margins/endpoint_list.rs
+++ b/crates/acceptance/src/margins/endpoint_list.rs
@@ -21,6 +21,7 @@
     pub(super) is_complete: bool,
     /// Whether it is the saved one that a process starts with.
     pub(super) is_cached: bool,
+    pub(super) version: u64,
 }
 
 /// A complete list that is being read.
@@ -36,7 +37,15 @@
 pub(super) struct Removal {
     /// When the list came.
     pub(super) received: Micros,
-    pub(super) servers: Vec<u32>,
+    /// The servers, with their starts as the list had them.
+    pub(super) servers: Vec<RemovedServer>,
+}
+
+/// A server that is removed.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct RemovedServer {
+    pub(super) id: u32,
+    pub(super) started: Micros,
 }
 
 /// The list of a process.
@@ -45,6 +54,8 @@
     servers: HashMap<u32, KnownServer>,
     complete: Option<CompleteList>,
     is_cached: bool,
+    /// Of the list that was read last.
+    version: u64,
 }
 
 impl EndpointList {
@@ -53,6 +64,11 @@
         self.is_cached
     }
 
+    /// The version of the list that was read last.
+    pub(super) fn version(&self) -> u64 {
+        self.version
+    }
+
     /// What the list says of a server.
     pub(super) fn server(&self, id: u32) -> KnownServer {
         self.servers.get(&id).copied().unwrap_or_default()
@@ -65,6 +81,7 @@
             named: Vec::new(),
         });
         self.is_cached = list.is_cached;
+        self.version = list.version;
     }
 
     /// Takes a server of the list; whether it was ready until now and is not any more.
@@ -90,7 +107,10 @@
                 continue;
             }
             known.unready_since = Some(received);
-            servers.push(*server);
+            servers.push(RemovedServer {
+                id: *server,
+                started: known.started,
+            });
         }
         Removal { received, servers }
     }
--- a/crates/acceptance/src/margins/evaluation.rs
+++ b/crates/acceptance/src/margins/evaluation.rs
@@ -11,7 +11,7 @@
     Margins {
         slow_start: slow_start::evaluate(&recording, &parameters, &capacity),
         send_after_drain: notification::latest_send_after_drain(&recording),
-        notification_delay: notification::longest_delay(&recording),
+        notification: notification::evaluate(&recording),
         latest_answer: latest_answer(&recording),
         lost_requests: lost_requests::evaluate(&recording),
         gaps: GAPS.into(),
--- a/crates/acceptance/src/margins/findings.rs
+++ b/crates/acceptance/src/margins/findings.rs
@@ -13,8 +13,8 @@
     pub slow_start: SlowStart,
     /// The latest send to a server that the node was notified is draining or removed.
     pub send_after_drain: Option<SendAfterDrain>,
-    /// The longest that a node was not notified that a server is draining or removed.
-    pub notification_delay: Option<NotificationDelay>,
+    /// How late nodes were notified that a server is draining or removed.
+    pub notification: Notification,
     /// The latest final answer.
     pub latest_answer: Option<AnswerLateness>,
     /// Requests that were read and never answered in time.
@@ -83,8 +83,17 @@
     pub in_own_list: bool,
 }
 
-/// How long a node was not notified that a server is draining or removed, since another node was or since its own
-/// process started.
+/// How late nodes were notified that a server is draining or removed. Discovery had it, and could be reached, when the
+/// first node was notified.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
+pub struct Notification {
+    /// The longest since then, of processes that began before the change counted as notified.
+    pub longest_delay: Option<NotificationDelay>,
+    /// The longest of processes that began later, since their start: they count as notified from their first moment.
+    pub longest_after_start: Option<NotificationDelay>,
+}
+
+/// How long a node was not notified.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct NotificationDelay {
     /// The delay, in microseconds.
--- a/crates/acceptance/src/margins/mod.rs
+++ b/crates/acceptance/src/margins/mod.rs
@@ -5,6 +5,7 @@
 //! that order: `process` fills the `recording`, the evaluation reads it, `report` and `table` print the `findings`;
 //! `limits` and `findings` import nothing of the others.
 
+mod availability;
 mod capacity;
 mod endpoint_list;
 mod evaluation;
@@ -23,7 +24,7 @@
 
 pub use self::findings::{
     AnswerLateness, BrokenLines, Capacity, DiscoveryCalls, Gap, LostRequests, Margins,
-    NotificationDelay, SendAfterDrain, SlowStart, SlowStartWindow,
+    Notification, NotificationDelay, SendAfterDrain, SlowStart, SlowStartWindow,
 };
 use self::process::ProcessRecorder;
 use self::recording::Recording;
--- a/crates/acceptance/src/margins/notification.rs
+++ b/crates/acceptance/src/margins/notification.rs
@@ -1,6 +1,6 @@
 //! How late nodes were notified that a server is draining or removed, and the latest send to one.
 
-use super::findings::{NotificationDelay, SendAfterDrain};
+use super::findings::{Notification, NotificationDelay, SendAfterDrain};
 use super::limits::NOTIFIED_AFTER;
 use super::recording::Recording;
 
@@ -12,7 +12,8 @@
             .unready_since
             .map(|since| send.at.saturating_sub(since));
         // The first node to be notified shows when discovery had it.
-        let first = recording.first_unready_notification(send.server, send.at);
+        let availability = &recording.availability;
+        let first = availability.first_unready_notification(send.server, send.at);
         let since_counted_as_notified =
             first.and_then(|first| send.at.checked_sub(first + NOTIFIED_AFTER));
         let Some(elapsed) = since_own_list.max(since_counted_as_notified) else {
@@ -30,18 +31,26 @@
     worst
 }
 
-/// The longest that a node was not notified.
-pub(super) fn longest_delay(recording: &Recording) -> Option<NotificationDelay> {
-    let delays = recording.notifications.iter().map(|notification| {
-        let at = notification.at;
+/// The longest that nodes were not notified. A new process gets no new time: the change counts as notified when it
+/// does for all.
+pub(super) fn evaluate(recording: &Recording) -> Notification {
+    let mut found = Notification::default();
+    for notification in &recording.unready_notifications {
+        let (at, node) = (notification.at, notification.node);
         let first = recording
+            .availability
             .first_unready_notification(notification.server, at)
-            .unwrap_or(at);
-        let due_since = first.max(notification.process_started).min(at);
-        NotificationDelay {
-            delay: at - due_since,
-            node: notification.node,
-        }
-    });
-    delays.max()
+            .map_or(at, |first| first.min(at));
+        let (longest, since) = if notification.process_started < first + NOTIFIED_AFTER {
+            (&mut found.longest_delay, first)
+        } else {
+            (&mut found.longest_after_start, notification.process_started)
+        };
+        let delay = NotificationDelay {
+            delay: at.saturating_sub(since),
+            node,
+        };
+        *longest = (*longest).max(Some(delay));
+    }
+    found
 }
--- a/crates/acceptance/src/margins/process.rs
+++ b/crates/acceptance/src/margins/process.rs
@@ -2,6 +2,7 @@
 
 use std::collections::HashMap;
 
+use super::availability::StateNotification;
 use super::endpoint_list::{EndpointList, ReceivedList};
 use super::recording::{
     RecordedProcess, RecordedRequest, RecordedSend, Recording, RequestState, UnreadyNotification,
@@ -50,10 +51,15 @@
         let process = self.process(line.at, recording);
         process.last_line = process.last_line.max(line.at);
         match line.event {
-            TraceEvent::ListReceived { complete, cached } => self.list.begin(ReceivedList {
+            TraceEvent::ListReceived {
+                complete,
+                cached,
+                version,
+            } => self.list.begin(ReceivedList {
                 at: line.at,
                 is_complete: complete,
                 is_cached: cached,
+                version,
             }),
             TraceEvent::ListedServer(server) => self.record_server(line.at, server, recording),
             TraceEvent::DiscoveryCalled => recording.discovery_calls.total += 1,
@@ -117,11 +123,15 @@
 
     fn record_server(&mut self, at: Micros, server: ListedServer, recording: &mut Recording) {
         recording.kinds.insert(server.id, server.kind);
+        let has_become_unready = self.list.set(at, server);
         if !self.list.is_cached() {
             record_start(at, server, recording);
+            if server.ready {
+                self.record_state(at, server.id, server.started, true, recording);
+            }
         }
-        if self.list.set(at, server) {
-            self.record_unready(server.id, at, recording);
+        if has_become_unready {
+            self.record_unready(at, server.id, server.started, recording);
         }
     }
 
@@ -129,19 +139,37 @@
     fn end_list(&mut self, recording: &mut Recording) {
         let removal = self.list.end();
         for server in removal.servers {
-            self.record_unready(server, removal.received, recording);
+            self.record_unready(removal.received, server.id, server.started, recording);
         }
     }
 
-    fn record_unready(&self, server: u32, at: Micros, recording: &mut Recording) {
-        let times = recording.unready_notifications.entry(server).or_default();
-        times.push(at);
-        recording.notifications.push(UnreadyNotification {
-            server,
+    fn record_unready(&self, at: Micros, server: u32, started: Micros, recording: &mut Recording) {
+        self.record_state(at, server, started, false, recording);
+        if !self.list.is_cached() {
+            recording.unready_notifications.push(UnreadyNotification {
+                server,
+                at,
+                node: self.node,
+                process_started: self.started,
+            });
+        }
+    }
+
+    fn record_state(
+        &self,
+        at: Micros,
+        server: u32,
+        started: Micros,
+        is_ready: bool,
+        recording: &mut Recording,
+    ) {
+        let notification = StateNotification {
             at,
-            node: self.node,
-            process_started: self.started,
-        });
+            version: self.list.version(),
+            started,
+            is_ready,
+        };
+        recording.availability.add(server, notification);
     }
 
     fn request<'a>(
@@ -200,10 +228,6 @@
     let starts = recording.starts.entry(server.id).or_default();
     let first_heard = starts.entry(server.started).or_insert(at);
     *first_heard = (*first_heard).min(at);
-    if server.ready {
-        let times = recording.ready_notifications.entry(server.id).or_default();
-        times.push(at);
-    }
 }
 
 fn record_outcome(
--- a/crates/acceptance/src/margins/recording.rs
+++ b/crates/acceptance/src/margins/recording.rs
@@ -2,6 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
+use super::availability::Availability;
 use super::findings::{BrokenLines, DiscoveryCalls};
 use super::limits::NOTIFIED_AFTER;
 use crate::trace::{Micros, RuleParameters};
@@ -82,12 +83,10 @@
     pub(super) kinds: HashMap<u32, i64>,
     /// The starts of each server that discovery reported, with the time at which a node first heard of each.
     pub(super) starts: HashMap<u32, BTreeMap<Micros, Micros>>,
-    /// When nodes were notified that a server is ready.
-    pub(super) ready_notifications: TimesByServer,
-    /// When nodes were notified that a server is not ready.
-    pub(super) unready_notifications: TimesByServer,
-    /// Each of the latter, in full.
-    pub(super) notifications: Vec<UnreadyNotification>,
+    /// When servers were ready and when not, as all nodes together were notified.
+    pub(super) availability: Availability,
+    /// What each node was notified of servers that are not ready, by other than a saved list.
+    pub(super) unready_notifications: Vec<UnreadyNotification>,
     /// When servers ended an attempt that was work to them.
     pub(super) answers: TimesByServer,
     /// When servers rejected an attempt.
@@ -101,14 +100,10 @@
 impl Recording {
     /// Sorts all events by time, as the look-ups below need them.
     pub(super) fn sort(&mut self) {
-        for times in [
-            &mut self.ready_notifications,
-            &mut self.unready_notifications,
-            &mut self.answers,
-            &mut self.rejections,
-        ] {
+        for times in [&mut self.answers, &mut self.rejections] {
             times.values_mut().for_each(|times| times.sort_unstable());
         }
+        self.availability.find_periods();
         self.sends.sort_by_key(|send| send.at);
     }
 
@@ -116,15 +111,6 @@
         self.kinds.get(&server).copied().unwrap_or(-1)
     }
 
-    /// When the first node was notified that a server is not ready, of the period without service that a time is in.
-    pub(super) fn first_unready_notification(&self, server: u32, at: Micros) -> Option<Micros> {
-        // Earlier notifications are void once the server is back.
-        let last_return = last_not_after(&self.ready_notifications, server, at);
-        let times = self.unready_notifications.get(&server)?;
-        let first = times.partition_point(|time| *time <= last_return);
-        times.get(first).copied()
-    }
-
     /// The last start of a send's server before the send.
     pub(super) fn start_before(&self, send: &RecordedSend) -> KnownStart {
         let starts = self.starts.get(&send.server);
@@ -143,12 +129,3 @@
         last.copied().unwrap_or(0)
     }
 }
-
-/// The last of a server's times that is not after another, 0 where there is none.
-fn last_not_after(times: &TimesByServer, server: u32, at: Micros) -> Micros {
-    let times = times.get(&server).map_or(&[][..], Vec::as_slice);
-    times[..times.partition_point(|time| *time <= at)]
-        .last()
-        .copied()
-        .unwrap_or(0)
-}
--- a/crates/acceptance/src/margins/report.rs
+++ b/crates/acceptance/src/margins/report.rs
@@ -3,8 +3,8 @@
 use std::fmt::{self, Display, Formatter};
 
 use super::findings::{
-    AnswerLateness, Capacity, Gap, LostRequests, Margins, NotificationDelay, SendAfterDrain,
-    SlowStart, SlowStartWindow,
+    AnswerLateness, Capacity, Gap, LostRequests, Margins, Notification, SendAfterDrain, SlowStart,
+    SlowStartWindow,
 };
 use super::limits::is_blamed_on_notified;
 use super::table::{seconds, signed_seconds};
@@ -21,9 +21,7 @@
         if let Some(send) = &self.send_after_drain {
             writeln!(f, "drain: {send}")?;
         }
-        if let Some(delay) = &self.notification_delay {
-            writeln!(f, "notification: {delay}")?;
-        }
+        write!(f, "{}", self.notification)?;
         if let Some(answer) = &self.latest_answer {
             writeln!(f, "final answer: {answer}")?;
         }
@@ -126,14 +124,26 @@
     }
 }
 
-impl Display for NotificationDelay {
+impl Display for Notification {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        write!(
-            f,
-            "node {} was notified {:.3} s late that a server is not ready",
-            self.node,
-            seconds(self.delay)
-        )
+        if let Some(longest) = self.longest_delay {
+            writeln!(
+                f,
+                "notification: node {} was notified {:.3} s after the first that a server is not ready",
+                longest.node,
+                seconds(longest.delay)
+            )?;
+        }
+        if let Some(longest) = self.longest_after_start {
+            writeln!(
+                f,
+                "notification: a later process of node {}, which counts as notified from its start, was notified after \
+                 {:.3} s",
+                longest.node,
+                seconds(longest.delay)
+            )?;
+        }
+        Ok(())
     }
 }
 
--- a/crates/acceptance/src/margins/table.rs
+++ b/crates/acceptance/src/margins/table.rs
@@ -16,7 +16,7 @@
 slow start: attempts that one restarted server received in the window of the settings, all nodes together, as a part of \
 the budget beyond which it collapses; of windows with over two thirds from nodes that had been notified of its start
 drain: the latest send to a server that is draining or removed, after its node was notified or counts as notified
-notification: the longest that a node was not notified of a drain or a removal, after the first node was or its process began
+notification: the longest that a node was not notified of a drain or a removal, after the first node was
 final answer: the latest final answer, after its request's deadline
 lost requests: requests that had no final answer half a second after their deadline
 none: nothing of the kind happened. not shown: the traces do not have what is needed. narrow: under a quarter of the \
@@ -166,7 +166,7 @@
     }
 
     fn notification_delay(&self) -> Measured {
-        let longest = self.notification_delay;
+        let longest = self.notification.longest_delay;
         worst(longest.map(|longest| seconds(longest.delay)))
     }
 
--- a/crates/acceptance/src/trace.rs
+++ b/crates/acceptance/src/trace.rs
@@ -28,6 +28,8 @@
         complete: bool,
         /// Whether it is the saved one that a process starts with.
         cached: bool,
+        /// Its version.
+        version: u64,
     },
     /// A server of the list before it.
     ListedServer(ListedServer),
@@ -215,6 +217,7 @@
     Some(TraceEvent::ListReceived {
         complete: update != "Delta",
         cached: update == "Cached",
+        version: fields.number()?,
     })
 }
 
--- a/crates/acceptance/tests/margins.rs
+++ b/crates/acceptance/tests/margins.rs
@@ -9,7 +9,7 @@
 use std::fs;
 
 use acceptance::margins::{
-    self, AnswerLateness, BrokenLines, Capacity, LostRequests, Margins, MarginsError,
+    self, AnswerLateness, BrokenLines, Capacity, LostRequests, Margins, MarginsError, Notification,
     NotificationDelay, SendAfterDrain,
 };
 use tempfile::TempDir;
@@ -124,7 +124,7 @@
     let margins = margins.unwrap();
     assert_eq!(margins.send_after_drain, Some(drain(300, 2, false)));
     assert_eq!(
-        margins.notification_delay,
+        margins.notification.longest_delay,
         Some(NotificationDelay { delay: 0, node: 1 }),
         "the other was never notified, which its sends show"
     );
@@ -204,11 +204,17 @@
     ];
     let (_folder, margins) = measured(&nodes);
     assert_eq!(
-        margins.unwrap().notification_delay,
-        Some(NotificationDelay {
-            delay: 3_500_000,
-            node: 2
-        })
+        margins.unwrap().notification,
+        Notification {
+            longest_delay: Some(NotificationDelay {
+                delay: 3_500_000,
+                node: 2
+            }),
+            longest_after_start: Some(NotificationDelay {
+                delay: 100_000,
+                node: 3
+            }),
+        }
     );
 }
 
@@ -296,3 +302,46 @@
             .contains("| join | slow start | not shown |")
     );
 }
+
+fn line(ms: u64, fields: &str) -> String {
+    format!("trace {} {fields}\n", at(ms))
+}
+
+#[test]
+fn a_new_process_gets_no_new_time_until_a_change_counts_as_notified() {
+    let ready = server(0, 1, "Ready", 0);
+    let change = |ms| line(ms, "list Delta 2") + &server(ms, 1, "Draining", 0);
+    let begun = |ms: u64| node(2, &ready).replace(&T0.to_string(), &at(ms).to_string());
+    let cached = |ms| line(ms, "list Cached 1") + &server(ms, 1, "Draining", 0);
+    let first = node(1, &ready) + &change(1_000);
+    let (_folder, margins) = measured(&[first.clone(), begun(3_000) + &change(6_500)]);
+    let margins = margins.unwrap();
+    let delay = |delay| Some(NotificationDelay { delay, node: 2 });
+    assert_eq!(margins.notification.longest_delay, delay(5_500_000));
+    assert!(
+        margins
+            .table("herd")
+            .contains("| herd | notification | 5.50 s | 6.00 s | 8% (narrow) |")
+    );
+    // One that was not told sends as if it had been, from 6 s after the first on.
+    let (_folder, margins) = measured(&[first.clone(), begun(6_900) + &send(7_200, 1, 1)]);
+    assert_eq!(margins.unwrap().send_after_drain.unwrap().elapsed, 200_000);
+    // That an older list comes late to another node does not bring the server back; that it starts again does.
+    let ready_again = |version: u64, started| {
+        let list = line(2_000, &format!("list Full {version}"));
+        node(3, "") + &list + &server(2_000, 1, "Ready", started) + &send(7_300, 2, 1)
+    };
+    for (again, elapsed) in [
+        (ready_again(1, 0), Some(300_000)),
+        (ready_again(3, 0), None),
+        (ready_again(1, at(1_500)), None),
+    ] {
+        let (_folder, margins) = measured(&[first.clone(), again]);
+        let send = margins.unwrap().send_after_drain;
+        assert_eq!(send.map(|send| send.elapsed), elapsed);
+    }
+    // A saved list notifies of nothing.
+    let (_folder, margins) = measured(&[first, node(2, "") + &cached(5_000)]);
+    let longest = margins.unwrap().notification.longest_delay;
+    assert_eq!(longest, Some(NotificationDelay { delay: 0, node: 1 }));
+}
