--- a/crates/acceptance/src/margins/evaluation.rs
+++ b/crates/acceptance/src/margins/evaluation.rs
@@ -1,7 +1,7 @@
 //! The margins of a recorded run: for each rule the event that came nearest to its limit.
 
 use super::findings::{AnswerLateness, Gap, Margins};
-use super::recording::{Recording, RequestState};
+use super::recording::{DiagnosticLines, Recording, RequestState};
 use super::{capacity, lost_requests, notification, slow_start};
 use crate::trace::RuleParameters;
 
@@ -14,7 +14,7 @@
         notification: notification::evaluate(&recording),
         latest_answer: latest_answer(&recording),
         lost_requests: lost_requests::evaluate(&recording),
-        gaps: GAPS.into(),
+        gaps: gaps(recording.diagnostics),
         parameters,
         capacity,
         outcomes: recording.outcomes,
@@ -42,11 +42,21 @@
     latest
 }
 
-/// What no recording shows.
-const GAPS: [Gap; 5] = [
-    Gap::WorkOfRequests,
-    Gap::TimeAtDiscovery,
-    Gap::Reconfiguration,
-    Gap::TimeOfBytes,
-    Gap::EndOfProcess,
-];
+/// What the recording does not show.
+fn gaps(lines: DiagnosticLines) -> Vec<Gap> {
+    let always = [
+        Gap::WorkOfRequests,
+        Gap::TimeAtDiscovery,
+        Gap::Reconfiguration,
+        Gap::TimeOfBytes,
+    ];
+    let unless_written = [
+        (lines.dropped, Gap::DroppedRequests),
+        (lines.shutdown_or_exit, Gap::EndOfProcess),
+    ];
+    let missing = unless_written.into_iter().filter(|(written, _)| !written);
+    always
+        .into_iter()
+        .chain(missing.map(|(_, gap)| gap))
+        .collect()
+}
--- a/crates/acceptance/src/margins/findings.rs
+++ b/crates/acceptance/src/margins/findings.rs
@@ -116,6 +116,14 @@
 pub struct LostRequests {
     /// The process went on past the time of its answer and never gave one.
     pub never_answered: u64,
+    /// The answer came after the time at which the request counts as lost.
+    pub answered_too_late: u64,
+    /// The node closed the connection without an answer.
+    pub dropped: u64,
+    /// The process ended by itself and had not answered.
+    pub open_at_exit: u64,
+    /// The process was killed late in its shutdown and had not answered what came within it.
+    pub open_at_kill: u64,
     /// Open where the trace of their process ends, and nothing shows why it ended. These do not count as lost.
     pub undetermined: u64,
 }
@@ -124,6 +132,10 @@
     /// All that are lost for certain.
     pub fn total(&self) -> u64 {
         self.never_answered
+            + self.answered_too_late
+            + self.dropped
+            + self.open_at_exit
+            + self.open_at_kill
     }
 }
 
@@ -175,6 +187,8 @@
     Reconfiguration,
     /// No trace tells when bytes left the node.
     TimeOfBytes,
+    /// The traces do not tell whether a node closed a connection itself.
+    DroppedRequests,
     /// The traces do not tell by what a process ended.
     EndOfProcess,
 }
--- a/crates/acceptance/src/margins/limits.rs
+++ b/crates/acceptance/src/margins/limits.rs
@@ -8,6 +8,9 @@
 pub(super) const ANSWER_LOST_AFTER: Micros = 500_000;
 /// Time limits of the older rules are longer by this where the test runs on sockets.
 pub(super) const SOCKET_ALLOWANCE: Micros = 50_000;
+/// A request that came more than this after SIGTERM has to be answered before SIGKILL.
+pub(super) const ANSWERED_BEFORE_KILL_FROM: Micros = 700_000;
+
 /// From this many requests on the slow-start budget leaves less room for chance.
 const LARGE_ALLOWANCE: f64 = 30.0;
 
--- a/crates/acceptance/src/margins/process.rs
+++ b/crates/acceptance/src/margins/process.rs
@@ -64,6 +64,14 @@
             TraceEvent::ListedServer(server) => self.record_server(line.at, server, recording),
             TraceEvent::DiscoveryCalled => recording.discovery_calls.total += 1,
             TraceEvent::DiscoveryFailed => recording.discovery_calls.failed += 1,
+            TraceEvent::ShutdownRequested => {
+                process.shutdown_requested_at.get_or_insert(line.at);
+                recording.diagnostics.shutdown_or_exit = true;
+            }
+            TraceEvent::Exited => {
+                process.has_exited = true;
+                recording.diagnostics.shutdown_or_exit = true;
+            }
             _ => self.record_request_line(line, recording),
         }
     }
@@ -97,12 +105,24 @@
                 outcome,
                 lateness_us,
             } => self.record_end(request, outcome, lateness_us, recording),
+            TraceEvent::RequestDropped { request } => {
+                recording.diagnostics.dropped = true;
+                if let Some(request) = self.request(request, recording) {
+                    request.state = RequestState::Dropped;
+                }
+            }
             _ => {}
         }
     }
 
     /// Begins anew with another process, which replaces the one before it, if there was one.
     fn restart(&mut self, at: Micros, parameters: RuleParameters, recording: &mut Recording) {
+        let previous = self
+            .process
+            .and_then(|index| recording.processes.get_mut(index));
+        if let Some(previous) = previous {
+            previous.is_replaced = true;
+        }
         *self = ProcessRecorder {
             node: parameters.node,
             started: at,
@@ -116,7 +136,12 @@
     fn process<'a>(&mut self, at: Micros, recording: &'a mut Recording) -> &'a mut RecordedProcess {
         let index = *self.process.get_or_insert(recording.processes.len());
         if index == recording.processes.len() {
-            recording.processes.push(RecordedProcess { last_line: at });
+            recording.processes.push(RecordedProcess {
+                is_replaced: false,
+                shutdown_requested_at: None,
+                has_exited: false,
+                last_line: at,
+            });
         }
         &mut recording.processes[index]
     }
@@ -193,6 +218,7 @@
         recording.requests.push(RecordedRequest {
             process: self.process.unwrap_or_default(),
             client_name: client_name.into(),
+            received_at: at,
             deadline: at + remaining,
             state: RequestState::Open,
         });
@@ -216,6 +242,9 @@
         let Some(request) = self.request(id, recording) else {
             return;
         };
+        if request.state == RequestState::Dropped {
+            return; // The node calls it departed, too.
+        }
         if outcome == "gone" {
             request.state = RequestState::Departed;
         } else {
--- a/crates/acceptance/src/margins/recording.rs
+++ b/crates/acceptance/src/margins/recording.rs
@@ -10,6 +10,12 @@
 /// A process of a node.
 #[derive(Debug)]
 pub(super) struct RecordedProcess {
+    /// Whether its node had another process after it.
+    pub(super) is_replaced: bool,
+    /// When it was asked to shut down.
+    pub(super) shutdown_requested_at: Option<Micros>,
+    /// Whether it ended by itself.
+    pub(super) has_exited: bool,
     /// When its last line was written.
     pub(super) last_line: Micros,
 }
@@ -23,6 +29,8 @@
     Answered { lateness_us: i64 },
     /// Its client has departed.
     Departed,
+    /// The node closed its connection.
+    Dropped,
 }
 
 /// A request that a node has read.
@@ -31,6 +39,7 @@
     /// Index of the process.
     pub(super) process: usize,
     pub(super) client_name: String,
+    pub(super) received_at: Micros,
     pub(super) deadline: Micros,
     pub(super) state: RequestState,
 }
@@ -95,6 +104,14 @@
     pub(super) outcomes: BTreeMap<String, u64>,
     pub(super) discovery_calls: DiscoveryCalls,
     pub(super) broken_lines: BrokenLines,
+    pub(super) diagnostics: DiagnosticLines,
+}
+
+/// Which of the lines that a node may leave out the traces have.
+#[derive(Debug, Clone, Copy, Default)]
+pub(super) struct DiagnosticLines {
+    pub(super) shutdown_or_exit: bool,
+    pub(super) dropped: bool,
 }
 
 impl Recording {
--- a/crates/acceptance/src/margins/report.rs
+++ b/crates/acceptance/src/margins/report.rs
@@ -162,8 +162,14 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{} never answered; not shown whether lost: {} open at the end of a trace",
-            self.never_answered, self.undetermined
+            "{} never answered, {} answered too late, {} whose connection the node closed, {} open when their process \
+             ended by itself, {} when it was killed in its shutdown; not shown whether lost: {} open at the end of a trace",
+            self.never_answered,
+            self.answered_too_late,
+            self.dropped,
+            self.open_at_exit,
+            self.open_at_kill,
+            self.undetermined
         )
     }
 }
@@ -185,8 +191,12 @@
                 "when bytes were written: attempts count from when their connection had them, answers from when they \
                  were decided"
             }
+            Gap::DroppedRequests => {
+                "whether a node closed a connection under a request itself (no `dropped` lines): such a request looks \
+                 like a client's departure, or open"
+            }
             Gap::EndOfProcess => {
-                "by what a process ended: what was open at its end is not judged"
+                "by what a process ended (no `terminate` or `exit` lines): what was open at its end is not judged"
             }
         })
     }
--- a/crates/acceptance/src/margins/table.rs
+++ b/crates/acceptance/src/margins/table.rs
@@ -18,7 +18,7 @@
 drain: the latest send to a server that is draining or removed, after its node was notified or counts as notified
 notification: the longest that a node was not notified of a drain or a removal, after the first node was
 final answer: the latest final answer, after its request's deadline
-lost requests: requests that had no final answer half a second after their deadline
+lost requests: requests that were read and had no final answer, or none until half a second after their deadline
 none: nothing of the kind happened. not shown: the traces do not have what is needed. narrow: under a quarter of the \
 limit is left. over: beyond the limit
 ";
--- a/crates/acceptance/src/trace.rs
+++ b/crates/acceptance/src/trace.rs
@@ -77,6 +77,15 @@
     DiscoveryCalled,
     /// A call to discovery failed or a watch broke.
     DiscoveryFailed,
+    /// The process was asked to shut down.
+    ShutdownRequested,
+    /// The process ends by itself.
+    Exited,
+    /// The node itself closed the connection of a request without an answer.
+    RequestDropped {
+        /// Number of the request.
+        request: u64,
+    },
 }
 
 /// The settings that the rules are stated in.
@@ -194,11 +203,23 @@
         },
         "ask" => TraceEvent::DiscoveryCalled,
         "unheard" => TraceEvent::DiscoveryFailed,
-        _ => return None,
+        other => parse_diagnostic(other, &mut fields)?,
     };
     Some(TraceLine { at, event })
 }
 
+/// The lines that only the margins need. A node may leave them out.
+fn parse_diagnostic<'a>(word: &str, fields: &mut Fields<'a>) -> Option<TraceEvent<'a>> {
+    Some(match word {
+        "terminate" => TraceEvent::ShutdownRequested,
+        "exit" => TraceEvent::Exited,
+        "dropped" => TraceEvent::RequestDropped {
+            request: fields.number()?,
+        },
+        _ => return None,
+    })
+}
+
 fn parse_parameters(fields: &mut Fields<'_>) -> Option<RuleParameters> {
     Some(RuleParameters {
         node: fields.number()?,
--- a/crates/acceptance/tests/margins.rs
+++ b/crates/acceptance/tests/margins.rs
@@ -186,6 +186,7 @@
     let lost = LostRequests {
         never_answered: 1,
         undetermined: 1,
+        ..LostRequests::default()
     };
     assert_eq!((margins.lost_requests, lost.total()), (lost, 1));
     assert!(margins.is_narrow());
@@ -303,10 +304,44 @@
     );
 }
 
+/// A request that has 400 ms.
+fn request(ms: u64, id: u64) -> String {
+    format!(
+        "trace {} request {id} 00000000000000aa 0 400000 c{id}\n",
+        at(ms)
+    )
+}
+
 fn line(ms: u64, fields: &str) -> String {
     format!("trace {} {fields}\n", at(ms))
 }
 
+#[test]
+fn a_request_that_was_read_is_lost_where_its_connection_or_process_ends_without_its_answer() {
+    let log = node(1, &server(0, 1, "Ready", 0));
+    let open = |ms, id| request(ms, id) + &line(ms + 1, "ask true");
+    let next = node(1, "").replace(&T0.to_string(), &at(9_000).to_string());
+    let lost = |text: String| measured(&[log.clone() + &text]).1.unwrap().lost_requests;
+    let of = |count: fn(&mut LostRequests)| {
+        let mut lost = LostRequests::default();
+        count(&mut lost);
+        lost
+    };
+    let dropped = open(10, 1) + &line(20, "dropped 1");
+    assert_eq!(lost(dropped.clone()), of(|lost| lost.dropped = 1));
+    let dropped = dropped + &line(20, "end 1 gone 0");
+    assert_eq!(lost(dropped), of(|lost| lost.dropped = 1));
+    let late = open(10, 1) + &line(911, "end 1 failed 501000");
+    assert_eq!(lost(late), of(|lost| lost.answered_too_late = 1));
+    assert_eq!(lost(open(10, 1)), of(|lost| lost.undetermined = 1));
+    let at_exit = open(10, 1) + &line(20, "exit");
+    assert_eq!(lost(at_exit), of(|lost| lost.open_at_exit = 1));
+    let at_kill = line(10, "terminate") + &open(711, 1) + &next;
+    assert_eq!(lost(at_kill), of(|lost| lost.open_at_kill = 1));
+    let crash = open(711, 1) + &next;
+    assert_eq!(lost(crash), of(|lost| lost.undetermined = 1));
+}
+
 #[test]
 fn a_new_process_gets_no_new_time_until_a_change_counts_as_notified() {
     let ready = server(0, 1, "Ready", 0);
