--- a/crates/acceptance/src/margins/evaluation.rs
+++ b/crates/acceptance/src/margins/evaluation.rs
@@ -1,9 +1,10 @@
 //! The margins of a recorded run: for each rule the event that came nearest to its limit.
 
-use super::findings::{AnswerLateness, Gap, Margins};
-use super::recording::{DiagnosticLines, Recording, RequestState};
+use super::findings::{AnswerLateness, AttemptAfterDeparture, ClientDepartures, Gap, Margins};
+use super::limits::DEPARTURE_GRACE;
+use super::recording::{DiagnosticLines, RecordedRequest, RecordedSend, Recording, RequestState};
 use super::{capacity, lost_requests, notification, slow_start};
-use crate::trace::RuleParameters;
+use crate::trace::{Micros, RuleParameters};
 
 /// Evaluates a recording whose events are sorted.
 pub(super) fn evaluate(recording: Recording, parameters: RuleParameters) -> Margins {
@@ -14,6 +15,7 @@
         notification: notification::evaluate(&recording),
         latest_answer: latest_answer(&recording),
         lost_requests: lost_requests::evaluate(&recording),
+        client_departures: client_departures(&recording),
         gaps: gaps(recording.diagnostics),
         parameters,
         capacity,
@@ -42,6 +44,47 @@
     latest
 }
 
+/// The attempts that began after their clients had departed.
+fn client_departures(recording: &Recording) -> ClientDepartures {
+    let departed = |request: &&RecordedRequest| request.departed_at.is_some();
+    let mut found = ClientDepartures {
+        departures: recording.requests.iter().filter(departed).count() as u64,
+        ..ClientDepartures::default()
+    };
+    for send in &recording.sends {
+        let Some(request) = send.request.map(|index| &recording.requests[index]) else {
+            continue;
+        };
+        let Some(elapsed) = time_since_departure(send, request) else {
+            continue;
+        };
+        found.attempts_after += 1;
+        found.lost += u64::from(elapsed > DEPARTURE_GRACE);
+        if found
+            .latest
+            .as_ref()
+            .is_none_or(|latest| elapsed > latest.elapsed)
+        {
+            found.latest = Some(AttemptAfterDeparture {
+                node: send.node,
+                server: send.server,
+                kind: send.kind,
+                client_name: request.client_name.clone(),
+                elapsed,
+            });
+        }
+    }
+    found
+}
+
+/// How long after its client's departure an attempt began, if it did.
+fn time_since_departure(send: &RecordedSend, request: &RecordedRequest) -> Option<Micros> {
+    let departed_at = request.departed_at?;
+    send.at
+        .checked_sub(departed_at)
+        .filter(|elapsed| *elapsed > 0)
+}
+
 /// What the recording does not show.
 fn gaps(lines: DiagnosticLines) -> Vec<Gap> {
     let always = [
@@ -50,11 +93,12 @@
         Gap::Reconfiguration,
         Gap::TimeOfBytes,
     ];
-    let unless_written = [
+    let unless_told = [
+        (!lines.lacks_departures, Gap::TimeOfDeparture),
         (lines.dropped, Gap::DroppedRequests),
         (lines.shutdown_or_exit, Gap::EndOfProcess),
     ];
-    let missing = unless_written.into_iter().filter(|(written, _)| !written);
+    let missing = unless_told.into_iter().filter(|(is_told, _)| !is_told);
     always
         .into_iter()
         .chain(missing.map(|(_, gap)| gap))
--- a/crates/acceptance/src/margins/findings.rs
+++ b/crates/acceptance/src/margins/findings.rs
@@ -19,6 +19,8 @@
     pub latest_answer: Option<AnswerLateness>,
     /// Requests that were read and never answered in time.
     pub lost_requests: LostRequests,
+    /// Attempts for clients that had departed.
+    pub client_departures: ClientDepartures,
     /// What a warm server of each kind can do.
     pub capacity: BTreeMap<i64, Capacity>,
     /// Final answers, by how they ended.
@@ -139,6 +141,47 @@
     }
 }
 
+/// What an attempt is to its request.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum AttemptKind {
+    /// The request's first attempt.
+    First,
+    /// An attempt after the outcome of those before it.
+    Retry,
+    /// An attempt beside one that has no outcome yet.
+    Hedge,
+    /// A further attempt at the origin, deferred or not.
+    OriginCall,
+}
+
+/// Attempts for clients that had departed.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
+pub struct ClientDepartures {
+    /// Requests whose clients departed.
+    pub departures: u64,
+    /// Attempts that began after a departure.
+    pub attempts_after: u64,
+    /// Those of them that began too late: each is a lost request.
+    pub lost: u64,
+    /// The latest of them.
+    pub latest: Option<AttemptAfterDeparture>,
+}
+
+/// An attempt for a client that had departed.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct AttemptAfterDeparture {
+    /// Number of the sending node.
+    pub node: u32,
+    /// Id of the server.
+    pub server: u32,
+    /// What the attempt is to its request.
+    pub kind: AttemptKind,
+    /// The client's name for the request.
+    pub client_name: String,
+    /// Time since the departure, in microseconds.
+    pub elapsed: Micros,
+}
+
 /// What a warm server of one kind can do.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Capacity {
@@ -187,6 +230,8 @@
     Reconfiguration,
     /// No trace tells when bytes left the node.
     TimeOfBytes,
+    /// The traces do not tell when a client's close was read.
+    TimeOfDeparture,
     /// The traces do not tell whether a node closed a connection itself.
     DroppedRequests,
     /// The traces do not tell by what a process ended.
--- a/crates/acceptance/src/margins/limits.rs
+++ b/crates/acceptance/src/margins/limits.rs
@@ -8,6 +8,8 @@
 pub(super) const ANSWER_LOST_AFTER: Micros = 500_000;
 /// Time limits of the older rules are longer by this where the test runs on sockets.
 pub(super) const SOCKET_ALLOWANCE: Micros = 50_000;
+/// No attempt may begin later than this after its client has departed.
+pub(super) const DEPARTURE_GRACE: Micros = 100_000;
 /// A request that came more than this after SIGTERM has to be answered before SIGKILL.
 pub(super) const ANSWERED_BEFORE_KILL_FROM: Micros = 700_000;
 
--- a/crates/acceptance/src/margins/lost_requests.rs
+++ b/crates/acceptance/src/margins/lost_requests.rs
@@ -15,6 +15,7 @@
             RequestState::Dropped => found.dropped += 1,
             // Nobody waits for the answer of a client that has departed.
             RequestState::Departed => {}
+            RequestState::Open if request.departed_at.is_some() => {}
             RequestState::Open => {
                 count_open(request, &recording.processes[request.process], &mut found)
             }
--- a/crates/acceptance/src/margins/mod.rs
+++ b/crates/acceptance/src/margins/mod.rs
@@ -1,5 +1,6 @@
 //! How far a run of the fleet test stayed from the limits of its rules, from the traces of its nodes: load on servers
-//! that are warming up, sends to servers that are draining, delay of notifications, and lost requests.
+//! that are warming up, sends to servers that are draining, delay of notifications, lost requests, and attempts for
+//! clients that had departed.
 //!
 //! [`measure`] reads the logs of a run into a recording, evaluates the recording and returns [`Margins`]. Imports go in
 //! that order: `process` fills the `recording`, the evaluation reads it, `report` and `table` print the `findings`;
@@ -23,8 +24,9 @@
 use std::path::{Path, PathBuf};
 
 pub use self::findings::{
-    AnswerLateness, BrokenLines, Capacity, DiscoveryCalls, Gap, LostRequests, Margins,
-    Notification, NotificationDelay, SendAfterDrain, SlowStart, SlowStartWindow,
+    AnswerLateness, AttemptAfterDeparture, AttemptKind, BrokenLines, Capacity, ClientDepartures,
+    DiscoveryCalls, Gap, LostRequests, Margins, Notification, NotificationDelay, SendAfterDrain,
+    SlowStart, SlowStartWindow,
 };
 use self::process::ProcessRecorder;
 use self::recording::Recording;
--- a/crates/acceptance/src/margins/process.rs
+++ b/crates/acceptance/src/margins/process.rs
@@ -4,6 +4,7 @@
 
 use super::availability::StateNotification;
 use super::endpoint_list::{EndpointList, ReceivedList};
+use super::findings::AttemptKind;
 use super::recording::{
     RecordedProcess, RecordedRequest, RecordedSend, Recording, RequestState, UnreadyNotification,
 };
@@ -21,6 +22,7 @@
 pub(super) struct ProcessRecorder {
     node: u32,
     started: Micros,
+    origin_kind: i64,
     /// Index of the process among all that are recorded, once a line of it was read.
     process: Option<usize>,
     list: EndpointList,
@@ -104,7 +106,12 @@
                 request,
                 outcome,
                 lateness_us,
-            } => self.record_end(request, outcome, lateness_us, recording),
+            } => self.record_end(line.at, request, outcome, lateness_us, recording),
+            TraceEvent::ClientDeparted { request } => {
+                if let Some(request) = self.request(request, recording) {
+                    request.depart(line.at);
+                }
+            }
             TraceEvent::RequestDropped { request } => {
                 recording.diagnostics.dropped = true;
                 if let Some(request) = self.request(request, recording) {
@@ -126,6 +133,7 @@
         *self = ProcessRecorder {
             node: parameters.node,
             started: at,
+            origin_kind: parameters.origin_kind,
             ..ProcessRecorder::default()
         };
         self.process(at, recording);
@@ -221,23 +229,49 @@
             received_at: at,
             deadline: at + remaining,
             state: RequestState::Open,
+            departed_at: None,
         });
     }
 
     fn record_send(&mut self, at: Micros, id: AttemptId, server: u32, recording: &mut Recording) {
         let known = self.list.server(server);
+        let kind = self.attempt_kind(id, recording.kind_of(server));
         self.attempts_in_flight.insert(id, recording.sends.len());
         recording.sends.push(RecordedSend {
             at,
             server,
             node: self.node,
+            request: self.requests.get(&id.request).copied(),
+            kind,
             known_start: known.started,
             unready_since: known.unready_since,
             answered: false,
         });
     }
 
-    fn record_end(&self, id: u64, outcome: &str, lateness_us: i64, recording: &mut Recording) {
+    fn attempt_kind(&self, id: AttemptId, server_kind: i64) -> AttemptKind {
+        if id.attempt == 0 {
+            return AttemptKind::First;
+        }
+        if server_kind == self.origin_kind {
+            return AttemptKind::OriginCall;
+        }
+        let request = id.request;
+        let mut earlier = (0..id.attempt).map(|attempt| AttemptId { request, attempt });
+        if earlier.any(|earlier| self.attempts_in_flight.contains_key(&earlier)) {
+            return AttemptKind::Hedge;
+        }
+        AttemptKind::Retry
+    }
+
+    fn record_end(
+        &self,
+        at: Micros,
+        id: u64,
+        outcome: &str,
+        lateness_us: i64,
+        recording: &mut Recording,
+    ) {
         *recording.outcomes.entry(outcome.into()).or_default() += 1;
         let Some(request) = self.request(id, recording) else {
             return;
@@ -246,7 +280,10 @@
             return; // The node calls it departed, too.
         }
         if outcome == "gone" {
+            let is_told = request.departed_at.is_some();
             request.state = RequestState::Departed;
+            request.depart(at);
+            recording.diagnostics.lacks_departures |= !is_told;
         } else {
             request.state = RequestState::Answered { lateness_us };
         }
--- a/crates/acceptance/src/margins/recording.rs
+++ b/crates/acceptance/src/margins/recording.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use super::availability::Availability;
-use super::findings::{BrokenLines, DiscoveryCalls};
+use super::findings::{AttemptKind, BrokenLines, DiscoveryCalls};
 use super::limits::NOTIFIED_AFTER;
 use crate::trace::{Micros, RuleParameters};
 
@@ -42,6 +42,16 @@
     pub(super) received_at: Micros,
     pub(super) deadline: Micros,
     pub(super) state: RequestState,
+    /// When the node noticed that the client had departed.
+    pub(super) departed_at: Option<Micros>,
+}
+
+impl RecordedRequest {
+    /// The client departed, as one of possibly several lines tells.
+    pub(super) fn depart(&mut self, at: Micros) {
+        let earliest = self.departed_at.map_or(at, |earlier| earlier.min(at));
+        self.departed_at = Some(earliest);
+    }
 }
 
 /// An attempt that was sent.
@@ -50,6 +60,9 @@
     pub(super) at: Micros,
     pub(super) server: u32,
     pub(super) node: u32,
+    /// Index of the request, if its line was seen.
+    pub(super) request: Option<usize>,
+    pub(super) kind: AttemptKind,
     /// The last start of the server that the node's list had; 0 for long ago.
     pub(super) known_start: Micros,
     /// When the node's list first had the server not ready, if it did.
@@ -107,10 +120,12 @@
     pub(super) diagnostics: DiagnosticLines,
 }
 
-/// Which of the lines that a node may leave out the traces have.
+/// Which of the lines that a node may leave out the traces have, or lack.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct DiagnosticLines {
     pub(super) shutdown_or_exit: bool,
+    /// Whether a departure was only told by the end of its request.
+    pub(super) lacks_departures: bool,
     pub(super) dropped: bool,
 }
 
--- a/crates/acceptance/src/margins/report.rs
+++ b/crates/acceptance/src/margins/report.rs
@@ -3,8 +3,8 @@
 use std::fmt::{self, Display, Formatter};
 
 use super::findings::{
-    AnswerLateness, Capacity, Gap, LostRequests, Margins, Notification, SendAfterDrain, SlowStart,
-    SlowStartWindow,
+    AnswerLateness, AttemptAfterDeparture, AttemptKind, Capacity, ClientDepartures, Gap,
+    LostRequests, Margins, Notification, SendAfterDrain, SlowStart, SlowStartWindow,
 };
 use super::limits::is_blamed_on_notified;
 use super::table::{seconds, signed_seconds};
@@ -26,6 +26,7 @@
             writeln!(f, "final answer: {answer}")?;
         }
         writeln!(f, "lost requests: {}", self.lost_requests)?;
+        writeln!(f, "client departure: {}", self.client_departures)?;
         writeln!(
             f,
             "requests by their end: {:?}; discovery: {} calls, {} failed",
@@ -174,6 +175,45 @@
     }
 }
 
+impl Display for AttemptKind {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            AttemptKind::First => "first attempt",
+            AttemptKind::Retry => "retry",
+            AttemptKind::Hedge => "hedged attempt",
+            AttemptKind::OriginCall => "origin call",
+        })
+    }
+}
+
+impl Display for ClientDepartures {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        write!(
+            f,
+            "{} requests whose clients departed, {} attempts after it, {} of them too late (lost requests)",
+            self.departures, self.attempts_after, self.lost
+        )?;
+        if let Some(latest) = &self.latest {
+            write!(f, "; {latest}")?;
+        }
+        Ok(())
+    }
+}
+
+impl Display for AttemptAfterDeparture {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        write!(
+            f,
+            "the latest a {} of request {} from node {} to server {}, {:.3} s after",
+            self.kind,
+            self.client_name,
+            self.node,
+            self.server,
+            seconds(self.elapsed)
+        )
+    }
+}
+
 impl Display for Gap {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -191,6 +231,10 @@
                 "when bytes were written: attempts count from when their connection had them, answers from when they \
                  were decided"
             }
+            Gap::TimeOfDeparture => {
+                "when a client's close was read (no `departed` lines): departures count from when the node had handled \
+                 them, so lateness is a lower bound"
+            }
             Gap::DroppedRequests => {
                 "whether a node closed a connection under a request itself (no `dropped` lines): such a request looks \
                  like a client's departure, or open"
--- a/crates/acceptance/src/margins/table.rs
+++ b/crates/acceptance/src/margins/table.rs
@@ -1,7 +1,7 @@
 //! The margins of a run as rows of a Markdown table: each rule's worst figure beside its limit.
 
 use super::findings::Margins;
-use super::limits::{ANSWER_LOST_AFTER, NOTIFIED_AFTER, SOCKET_ALLOWANCE};
+use super::limits::{ANSWER_LOST_AFTER, DEPARTURE_GRACE, NOTIFIED_AFTER, SOCKET_ALLOWANCE};
 use crate::trace::Micros;
 
 /// A margin that is a smaller part of its limit than this asks for a cause.
@@ -19,6 +19,7 @@
 notification: the longest that a node was not notified of a drain or a removal, after the first node was
 final answer: the latest final answer, after its request's deadline
 lost requests: requests that were read and had no final answer, or none until half a second after their deadline
+client departure: the latest attempt that began after its client had closed its connection
 none: nothing of the kind happened. not shown: the traces do not have what is needed. narrow: under a quarter of the \
 limit is left. over: beyond the limit
 ";
@@ -142,6 +143,7 @@
                 name: "lost requests",
                 count: self.lost_requests.total(),
             },
+            Row::time("client departure", self.latest_departure(), DEPARTURE_GRACE),
         ]
     }
 
@@ -170,6 +172,14 @@
         worst(longest.map(|longest| seconds(longest.delay)))
     }
 
+    fn latest_departure(&self) -> Measured {
+        if self.client_departures.departures == 0 {
+            return Measured::Nothing;
+        }
+        let latest = self.client_departures.latest.as_ref();
+        Measured::Worst(latest.map_or(0.0, |latest| seconds(latest.elapsed)))
+    }
+
     /// Whether a margin is narrow, less than a quarter of its limit, or a request was lost.
     pub fn is_narrow(&self) -> bool {
         self.rows().iter().any(Row::is_narrow)
--- a/crates/acceptance/src/trace.rs
+++ b/crates/acceptance/src/trace.rs
@@ -81,6 +81,11 @@
     ShutdownRequested,
     /// The process ends by itself.
     Exited,
+    /// The close or reset of a client that waits for a request was read.
+    ClientDeparted {
+        /// Number of the request.
+        request: u64,
+    },
     /// The node itself closed the connection of a request without an answer.
     RequestDropped {
         /// Number of the request.
@@ -213,6 +218,9 @@
     Some(match word {
         "terminate" => TraceEvent::ShutdownRequested,
         "exit" => TraceEvent::Exited,
+        "departed" => TraceEvent::ClientDeparted {
+            request: fields.number()?,
+        },
         "dropped" => TraceEvent::RequestDropped {
             request: fields.number()?,
         },
--- a/crates/acceptance/tests/margins.rs
+++ b/crates/acceptance/tests/margins.rs
@@ -9,8 +9,9 @@
 use std::fs;
 
 use acceptance::margins::{
-    self, AnswerLateness, BrokenLines, Capacity, LostRequests, Margins, MarginsError, Notification,
-    NotificationDelay, SendAfterDrain,
+    self, AnswerLateness, AttemptAfterDeparture, AttemptKind, BrokenLines, Capacity,
+    ClientDepartures, LostRequests, Margins, MarginsError, Notification, NotificationDelay,
+    SendAfterDrain,
 };
 use tempfile::TempDir;
 
@@ -316,6 +317,52 @@
     format!("trace {} {fields}\n", at(ms))
 }
 
+#[test]
+fn an_attempt_over_a_tenth_of_a_second_after_its_client_departed_is_a_lost_request() {
+    let list = server(0, 1, "Ready", 0) + "trace 1000000000 server 7 Ready 9 0 0\n";
+    let first = request(10, 1) + &line(100, "end 1 gone 0") + &line(190, "send 1 0 1");
+    let hedge = request(10, 2) + &line(20, "send 2 0 1") + &line(100, "end 2 gone 0");
+    let hedge = hedge + &line(220, "send 2 1 1");
+    let retry = request(10, 3) + &line(20, "send 3 0 1") + &line(90, "outcome 3 0 1 Reset None");
+    let retry = retry + &line(100, "end 3 gone 0") + &line(230, "send 3 1 1");
+    let origin = request(10, 4) + &line(20, "send 4 0 1") + &line(90, "outcome 4 0 1 Miss Miss");
+    let origin = origin + &line(100, "end 4 gone 0") + &line(260, "send 4 1 7");
+    let latest = |elapsed_ms: u64, kind, server, name: &str| AttemptAfterDeparture {
+        node: 1,
+        server,
+        kind,
+        client_name: name.into(),
+        elapsed: elapsed_ms * 1_000,
+    };
+    let cases = [
+        (&first, 0, latest(90, AttemptKind::First, 1, "c1")),
+        (&hedge, 1, latest(120, AttemptKind::Hedge, 1, "c2")),
+        (&retry, 1, latest(130, AttemptKind::Retry, 1, "c3")),
+        (&origin, 1, latest(160, AttemptKind::OriginCall, 7, "c4")),
+    ];
+    for (lines, lost, latest) in cases {
+        let (_folder, margins) = measured(&[node(1, &list) + lines]);
+        let margins = margins.unwrap();
+        let expected = ClientDepartures {
+            departures: 1,
+            attempts_after: 1,
+            lost,
+            latest: Some(latest),
+        };
+        assert_eq!(margins.client_departures, expected);
+        assert!(margins.is_narrow(), "{lines}");
+        assert!(margins.to_string().contains("no `departed` lines"));
+    }
+    // Where the trace tells when the close was read, it counts from then, though the node handled it later.
+    let told = request(10, 1) + &line(190, "send 1 0 1") + &line(20, "departed 1");
+    let (_folder, margins) = measured(&[node(1, &list) + &told + &line(191, "end 1 gone 0")]);
+    let margins = margins.unwrap();
+    assert_eq!(margins.client_departures.lost, 1);
+    let row = "| zone | client departure | 0.17 s | 0.10 s | -70% (over) |";
+    assert!(margins.table("zone").contains(row));
+    assert!(!margins.to_string().contains("no `departed` lines"));
+}
+
 #[test]
 fn a_request_that_was_read_is_lost_where_its_connection_or_process_ends_without_its_answer() {
     let log = node(1, &server(0, 1, "Ready", 0));
