--- a/crates/acceptance/src/margins/evaluation.rs
+++ b/crates/acceptance/src/margins/evaluation.rs
@@ -1,8 +1,13 @@
 //! The margins of a recorded run: for each rule the event that came nearest to its limit.
 
-use super::findings::{AnswerLateness, AttemptAfterDeparture, ClientDepartures, Gap, Margins};
-use super::limits::DEPARTURE_GRACE;
-use super::recording::{DiagnosticLines, RecordedRequest, RecordedSend, Recording, RequestState};
+use super::findings::{
+    AnswerLateness, AttemptAfterDeparture, ClientDepartures, Gap, Margins, StatedDeadline,
+    StatedDeadlines,
+};
+use super::limits::{DEPARTURE_GRACE, STATED_DEADLINE_SLACK};
+use super::recording::{
+    DiagnosticLines, RecordedDeadline, RecordedRequest, RecordedSend, Recording, RequestState,
+};
 use super::{capacity, lost_requests, notification, slow_start};
 use crate::trace::{Micros, RuleParameters};
 
@@ -16,6 +21,7 @@
         latest_answer: latest_answer(&recording),
         lost_requests: lost_requests::evaluate(&recording),
         client_departures: client_departures(&recording),
+        stated_deadlines: stated_deadlines(&recording),
         gaps: gaps(recording.diagnostics),
         parameters,
         capacity,
@@ -85,6 +91,35 @@
         .filter(|elapsed| *elapsed > 0)
 }
 
+/// The deadlines that attempts stated, beside what was left to their clients.
+fn stated_deadlines(recording: &Recording) -> StatedDeadlines {
+    let mut found = StatedDeadlines::default();
+    for deadline in &recording.deadlines {
+        let request = &recording.requests[deadline.request];
+        let excess_us = excess_over_remaining(deadline, request);
+        found.recorded += 1;
+        found.over_limit += u64::from(excess_us > STATED_DEADLINE_SLACK as i64);
+        if found
+            .worst
+            .as_ref()
+            .is_none_or(|worst| excess_us > worst.excess_us)
+        {
+            found.worst = Some(StatedDeadline {
+                excess_us,
+                node: recording.processes[request.process].node,
+                client_name: request.client_name.clone(),
+                attempt: deadline.attempt,
+            });
+        }
+    }
+    found
+}
+
+fn excess_over_remaining(deadline: &RecordedDeadline, request: &RecordedRequest) -> i64 {
+    let remaining_us = request.deadline as i64 - deadline.at as i64;
+    deadline.stated as i64 - remaining_us
+}
+
 /// What the recording does not show.
 fn gaps(lines: DiagnosticLines) -> Vec<Gap> {
     let always = [
@@ -94,6 +129,7 @@
         Gap::TimeOfBytes,
     ];
     let unless_told = [
+        (lines.deadline, Gap::StatedDeadlines),
         (!lines.lacks_departures, Gap::TimeOfDeparture),
         (lines.dropped, Gap::DroppedRequests),
         (lines.shutdown_or_exit, Gap::EndOfProcess),
--- a/crates/acceptance/src/margins/findings.rs
+++ b/crates/acceptance/src/margins/findings.rs
@@ -21,6 +21,8 @@
     pub lost_requests: LostRequests,
     /// Attempts for clients that had departed.
     pub client_departures: ClientDepartures,
+    /// The deadlines that attempts stated to their servers.
+    pub stated_deadlines: StatedDeadlines,
     /// What a warm server of each kind can do.
     pub capacity: BTreeMap<i64, Capacity>,
     /// Final answers, by how they ended.
@@ -182,6 +184,30 @@
     pub elapsed: Micros,
 }
 
+/// The deadlines that attempts stated to their servers.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
+pub struct StatedDeadlines {
+    /// How many were recorded.
+    pub recorded: u64,
+    /// How many stated more than is left to the client and the slack.
+    pub over_limit: u64,
+    /// The one that stated most beyond what was left.
+    pub worst: Option<StatedDeadline>,
+}
+
+/// A deadline that an attempt stated.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct StatedDeadline {
+    /// How much longer it is than what was left to the client, in microseconds; negative where it is shorter.
+    pub excess_us: i64,
+    /// Number of the sending node.
+    pub node: u32,
+    /// The client's name for the request.
+    pub client_name: String,
+    /// Number of the attempt in the request, from 0.
+    pub attempt: u16,
+}
+
 /// What a warm server of one kind can do.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Capacity {
@@ -230,6 +256,8 @@
     Reconfiguration,
     /// No trace tells when bytes left the node.
     TimeOfBytes,
+    /// The traces do not have the deadlines that attempts state.
+    StatedDeadlines,
     /// The traces do not tell when a client's close was read.
     TimeOfDeparture,
     /// The traces do not tell whether a node closed a connection itself.
--- a/crates/acceptance/src/margins/limits.rs
+++ b/crates/acceptance/src/margins/limits.rs
@@ -10,6 +10,8 @@
 pub(super) const SOCKET_ALLOWANCE: Micros = 50_000;
 /// No attempt may begin later than this after its client has departed.
 pub(super) const DEPARTURE_GRACE: Micros = 100_000;
+/// An attempt may state at most this much more than is left to its client.
+pub(super) const STATED_DEADLINE_SLACK: Micros = 150_000;
 /// A request that came more than this after SIGTERM has to be answered before SIGKILL.
 pub(super) const ANSWERED_BEFORE_KILL_FROM: Micros = 700_000;
 
--- a/crates/acceptance/src/margins/mod.rs
+++ b/crates/acceptance/src/margins/mod.rs
@@ -1,6 +1,6 @@
 //! How far a run of the fleet test stayed from the limits of its rules, from the traces of its nodes: load on servers
-//! that are warming up, sends to servers that are draining, delay of notifications, lost requests, and attempts for
-//! clients that had departed.
+//! that are warming up, sends to servers that are draining, delay of notifications, lost requests, attempts for clients
+//! that had departed, and deadlines that attempts state.
 //!
 //! [`measure`] reads the logs of a run into a recording, evaluates the recording and returns [`Margins`]. Imports go in
 //! that order: `process` fills the `recording`, the evaluation reads it, `report` and `table` print the `findings`;
@@ -26,7 +26,7 @@
 pub use self::findings::{
     AnswerLateness, AttemptAfterDeparture, AttemptKind, BrokenLines, Capacity, ClientDepartures,
     DiscoveryCalls, Gap, LostRequests, Margins, Notification, NotificationDelay, SendAfterDrain,
-    SlowStart, SlowStartWindow,
+    SlowStart, SlowStartWindow, StatedDeadline, StatedDeadlines,
 };
 use self::process::ProcessRecorder;
 use self::recording::Recording;
--- a/crates/acceptance/src/margins/process.rs
+++ b/crates/acceptance/src/margins/process.rs
@@ -6,7 +6,8 @@
 use super::endpoint_list::{EndpointList, ReceivedList};
 use super::findings::AttemptKind;
 use super::recording::{
-    RecordedProcess, RecordedRequest, RecordedSend, Recording, RequestState, UnreadyNotification,
+    RecordedDeadline, RecordedProcess, RecordedRequest, RecordedSend, Recording, RequestState,
+    UnreadyNotification,
 };
 use crate::trace::{self, BrokenLine, ListedServer, Micros, RuleParameters, TraceEvent, TraceLine};
 
@@ -118,6 +119,16 @@
                     request.state = RequestState::Dropped;
                 }
             }
+            TraceEvent::DeadlineStated {
+                request,
+                attempt,
+                stated_ms,
+            } => self.record_deadline(
+                line.at,
+                AttemptId { request, attempt },
+                stated_ms,
+                recording,
+            ),
             _ => {}
         }
     }
@@ -145,6 +156,7 @@
         let index = *self.process.get_or_insert(recording.processes.len());
         if index == recording.processes.len() {
             recording.processes.push(RecordedProcess {
+                node: self.node,
                 is_replaced: false,
                 shutdown_requested_at: None,
                 has_exited: false,
@@ -264,6 +276,24 @@
         AttemptKind::Retry
     }
 
+    fn record_deadline(
+        &self,
+        at: Micros,
+        id: AttemptId,
+        stated_ms: u64,
+        recording: &mut Recording,
+    ) {
+        recording.diagnostics.deadline = true;
+        if let Some(&request) = self.requests.get(&id.request) {
+            recording.deadlines.push(RecordedDeadline {
+                at,
+                request,
+                attempt: id.attempt,
+                stated: stated_ms * 1_000,
+            });
+        }
+    }
+
     fn record_end(
         &self,
         at: Micros,
--- a/crates/acceptance/src/margins/recording.rs
+++ b/crates/acceptance/src/margins/recording.rs
@@ -10,6 +10,7 @@
 /// A process of a node.
 #[derive(Debug)]
 pub(super) struct RecordedProcess {
+    pub(super) node: u32,
     /// Whether its node had another process after it.
     pub(super) is_replaced: bool,
     /// When it was asked to shut down.
@@ -71,6 +72,17 @@
     pub(super) answered: bool,
 }
 
+/// A deadline that an attempt stated to its server.
+#[derive(Debug)]
+pub(super) struct RecordedDeadline {
+    pub(super) at: Micros,
+    /// Index of the request.
+    pub(super) request: usize,
+    pub(super) attempt: u16,
+    /// How long the server is told that the node will wait.
+    pub(super) stated: Micros,
+}
+
 /// A node's notification that a server is not ready any more.
 #[derive(Debug)]
 pub(super) struct UnreadyNotification {
@@ -101,6 +113,7 @@
     pub(super) processes: Vec<RecordedProcess>,
     pub(super) requests: Vec<RecordedRequest>,
     pub(super) sends: Vec<RecordedSend>,
+    pub(super) deadlines: Vec<RecordedDeadline>,
     /// The kind of each server.
     pub(super) kinds: HashMap<u32, i64>,
     /// The starts of each server that discovery reported, with the time at which a node first heard of each.
@@ -127,6 +140,7 @@
     /// Whether a departure was only told by the end of its request.
     pub(super) lacks_departures: bool,
     pub(super) dropped: bool,
+    pub(super) deadline: bool,
 }
 
 impl Recording {
--- a/crates/acceptance/src/margins/report.rs
+++ b/crates/acceptance/src/margins/report.rs
@@ -5,8 +5,9 @@
 use super::findings::{
     AnswerLateness, AttemptAfterDeparture, AttemptKind, Capacity, ClientDepartures, Gap,
     LostRequests, Margins, Notification, SendAfterDrain, SlowStart, SlowStartWindow,
+    StatedDeadlines,
 };
-use super::limits::is_blamed_on_notified;
+use super::limits::{STATED_DEADLINE_SLACK, is_blamed_on_notified};
 use super::table::{seconds, signed_seconds};
 
 /// So many of the restarted servers are listed, the most loaded first.
@@ -27,6 +28,9 @@
         }
         writeln!(f, "lost requests: {}", self.lost_requests)?;
         writeln!(f, "client departure: {}", self.client_departures)?;
+        if self.stated_deadlines.recorded > 0 {
+            writeln!(f, "deadline: {}", self.stated_deadlines)?;
+        }
         writeln!(
             f,
             "requests by their end: {:?}; discovery: {} calls, {} failed",
@@ -214,6 +218,29 @@
     }
 }
 
+impl Display for StatedDeadlines {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        write!(
+            f,
+            "{} attempts, {} state over {:.2} s more than is left",
+            self.recorded,
+            self.over_limit,
+            seconds(STATED_DEADLINE_SLACK)
+        )?;
+        if let Some(worst) = &self.worst {
+            write!(
+                f,
+                "; the most {:.3} s, attempt {} of request {} from node {}",
+                signed_seconds(worst.excess_us),
+                worst.attempt,
+                worst.client_name,
+                worst.node
+            )?;
+        }
+        Ok(())
+    }
+}
+
 impl Display for Gap {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -231,6 +258,7 @@
                 "when bytes were written: attempts count from when their connection had them, answers from when they \
                  were decided"
             }
+            Gap::StatedDeadlines => "the deadlines that attempts state (no `deadline` lines)",
             Gap::TimeOfDeparture => {
                 "when a client's close was read (no `departed` lines): departures count from when the node had handled \
                  them, so lateness is a lower bound"
--- a/crates/acceptance/src/margins/table.rs
+++ b/crates/acceptance/src/margins/table.rs
@@ -1,7 +1,9 @@
 //! The margins of a run as rows of a Markdown table: each rule's worst figure beside its limit.
 
-use super::findings::Margins;
-use super::limits::{ANSWER_LOST_AFTER, DEPARTURE_GRACE, NOTIFIED_AFTER, SOCKET_ALLOWANCE};
+use super::findings::{Gap, Margins};
+use super::limits::{
+    ANSWER_LOST_AFTER, DEPARTURE_GRACE, NOTIFIED_AFTER, SOCKET_ALLOWANCE, STATED_DEADLINE_SLACK,
+};
 use crate::trace::Micros;
 
 /// A margin that is a smaller part of its limit than this asks for a cause.
@@ -20,6 +22,7 @@
 final answer: the latest final answer, after its request's deadline
 lost requests: requests that were read and had no final answer, or none until half a second after their deadline
 client departure: the latest attempt that began after its client had closed its connection
+deadline: the most that an attempt stated to its server beyond the time that was left to its client
 none: nothing of the kind happened. not shown: the traces do not have what is needed. narrow: under a quarter of the \
 limit is left. over: beyond the limit
 ";
@@ -144,6 +147,7 @@
                 count: self.lost_requests.total(),
             },
             Row::time("client departure", self.latest_departure(), DEPARTURE_GRACE),
+            Row::time("deadline", self.worst_deadline(), STATED_DEADLINE_SLACK),
         ]
     }
 
@@ -180,6 +184,14 @@
         Measured::Worst(latest.map_or(0.0, |latest| seconds(latest.elapsed)))
     }
 
+    fn worst_deadline(&self) -> Measured {
+        if self.gaps.contains(&Gap::StatedDeadlines) {
+            return Measured::NotShown;
+        }
+        let stated = self.stated_deadlines.worst.as_ref();
+        worst(stated.map(|stated| signed_seconds(stated.excess_us)))
+    }
+
     /// Whether a margin is narrow, less than a quarter of its limit, or a request was lost.
     pub fn is_narrow(&self) -> bool {
         self.rows().iter().any(Row::is_narrow)
--- a/crates/acceptance/src/trace.rs
+++ b/crates/acceptance/src/trace.rs
@@ -91,6 +91,15 @@
         /// Number of the request.
         request: u64,
     },
+    /// An attempt states a deadline to its server.
+    DeadlineStated {
+        /// Number of its request.
+        request: u64,
+        /// Number of the attempt in the request, from 0.
+        attempt: u16,
+        /// How long the server is told that the node will wait, in milliseconds.
+        stated_ms: u64,
+    },
 }
 
 /// The settings that the rules are stated in.
@@ -224,6 +233,11 @@
         "dropped" => TraceEvent::RequestDropped {
             request: fields.number()?,
         },
+        "deadline" => TraceEvent::DeadlineStated {
+            request: fields.number()?,
+            attempt: fields.number()?,
+            stated_ms: fields.number()?,
+        },
         _ => return None,
     })
 }
--- a/crates/acceptance/tests/margins.rs
+++ b/crates/acceptance/tests/margins.rs
@@ -11,7 +11,7 @@
 use acceptance::margins::{
     self, AnswerLateness, AttemptAfterDeparture, AttemptKind, BrokenLines, Capacity,
     ClientDepartures, LostRequests, Margins, MarginsError, Notification, NotificationDelay,
-    SendAfterDrain,
+    SendAfterDrain, StatedDeadline, StatedDeadlines,
 };
 use tempfile::TempDir;
 
@@ -363,6 +363,41 @@
     assert!(!margins.to_string().contains("no `departed` lines"));
 }
 
+#[test]
+fn a_stated_deadline_exceeds_what_is_left_by_at_most_the_slack_for_retries_too() {
+    let log = node(1, &server(0, 1, "Ready", 0)) + &request(10, 1);
+    let (_folder, margins) = measured(std::slice::from_ref(&log));
+    let margins = margins.unwrap();
+    assert!(
+        margins
+            .table("calm")
+            .contains("| calm | deadline | not shown | 0.15 s |  |")
+    );
+    assert!(
+        margins
+            .to_string()
+            .contains("not shown: the deadlines that attempts state")
+    );
+    // 400 ms are left at 10 ms, 210 ms at 200 ms.
+    let kept = log + &line(10, "deadline 1 0 400") + &line(200, "deadline 1 1 360");
+    let over = kept.clone() + &line(200, "deadline 1 2 361");
+    for (log, over_limit, excess_us, attempt) in [(kept, 0, 150_000, 1), (over, 1, 151_000, 2)] {
+        let (_folder, margins) = measured(&[log]);
+        let margins = margins.unwrap();
+        let expected = StatedDeadlines {
+            recorded: 2 + over_limit,
+            over_limit,
+            worst: Some(StatedDeadline {
+                excess_us,
+                node: 1,
+                client_name: "c1".into(),
+                attempt,
+            }),
+        };
+        assert_eq!(margins.stated_deadlines, expected);
+    }
+}
+
 #[test]
 fn a_request_that_was_read_is_lost_where_its_connection_or_process_ends_without_its_answer() {
     let log = node(1, &server(0, 1, "Ready", 0));
