--- a/crates/acceptance/src/margins/evaluation.rs
+++ b/crates/acceptance/src/margins/evaluation.rs
@@ -8,7 +8,7 @@
 use super::recording::{
     DiagnosticLines, RecordedDeadline, RecordedRequest, RecordedSend, Recording, RequestState,
 };
-use super::{capacity, lost_requests, notification, slow_start};
+use super::{capacity, lost_requests, notification, readiness, slow_start};
 use crate::trace::{Micros, RuleParameters};
 
 /// Evaluates a recording whose events are sorted.
@@ -22,6 +22,7 @@
         lost_requests: lost_requests::evaluate(&recording),
         client_departures: client_departures(&recording),
         stated_deadlines: stated_deadlines(&recording),
+        readiness: readiness::evaluate(&recording),
         gaps: gaps(recording.diagnostics),
         parameters,
         capacity,
@@ -132,6 +133,7 @@
         (lines.deadline, Gap::StatedDeadlines),
         (!lines.lacks_departures, Gap::TimeOfDeparture),
         (lines.dropped, Gap::DroppedRequests),
+        (lines.readiness, Gap::TimeOfReadiness),
         (lines.shutdown_or_exit, Gap::EndOfProcess),
     ];
     let missing = unless_told.into_iter().filter(|(is_told, _)| !is_told);
--- a/crates/acceptance/src/margins/findings.rs
+++ b/crates/acceptance/src/margins/findings.rs
@@ -23,6 +23,8 @@
     pub client_departures: ClientDepartures,
     /// The deadlines that attempts stated to their servers.
     pub stated_deadlines: StatedDeadlines,
+    /// How soon restarted processes were ready.
+    pub readiness: Readiness,
     /// What a warm server of each kind can do.
     pub capacity: BTreeMap<i64, Capacity>,
     /// Final answers, by how they ended.
@@ -208,6 +210,30 @@
     pub attempt: u16,
 }
 
+/// How soon restarted processes were ready.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
+pub struct Readiness {
+    /// Restarted processes of which the recording shows whether they were ready in time.
+    pub judged: u64,
+    /// Those of them that were not.
+    pub late: u64,
+    /// The process that took longest, ready or not.
+    pub slowest: Option<ReadinessDelay>,
+    /// Restarted processes that ended, or whose day ended, before their time was up.
+    pub undetermined: u64,
+}
+
+/// How long a process took to be ready.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct ReadinessDelay {
+    /// Number of the node.
+    pub node: u32,
+    /// The time, in microseconds; at least this where it was never ready.
+    pub delay: Micros,
+    /// Whether it was ready in the end.
+    pub became_ready: bool,
+}
+
 /// What a warm server of one kind can do.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Capacity {
@@ -262,6 +288,8 @@
     TimeOfDeparture,
     /// The traces do not tell whether a node closed a connection itself.
     DroppedRequests,
+    /// The traces do not tell when a process was launched and answered `PING`.
+    TimeOfReadiness,
     /// The traces do not tell by what a process ended.
     EndOfProcess,
 }
--- a/crates/acceptance/src/margins/limits.rs
+++ b/crates/acceptance/src/margins/limits.rs
@@ -12,6 +12,14 @@
 pub(super) const DEPARTURE_GRACE: Micros = 100_000;
 /// An attempt may state at most this much more than is left to its client.
 pub(super) const STATED_DEADLINE_SLACK: Micros = 150_000;
+/// Nine in ten restarted processes are ready within this time ...
+pub(super) const READY_IN_TIME: Micros = 10_000_000;
+/// ... or within this one, where the day ends sooner.
+pub(super) const READY_IN_TIME_AT_DAY_END: Micros = 6_000_000;
+/// The part of the restarted processes that may be ready later than that.
+pub(super) const READY_LATE_SHARE: f64 = 0.1;
+/// No process may take longer than this to be ready.
+pub(super) const READY_AT_LATEST: Micros = 30_000_000;
 /// A request that came more than this after SIGTERM has to be answered before SIGKILL.
 pub(super) const ANSWERED_BEFORE_KILL_FROM: Micros = 700_000;
 
--- a/crates/acceptance/src/margins/mod.rs
+++ b/crates/acceptance/src/margins/mod.rs
@@ -1,6 +1,6 @@
 //! How far a run of the fleet test stayed from the limits of its rules, from the traces of its nodes: load on servers
 //! that are warming up, sends to servers that are draining, delay of notifications, lost requests, attempts for clients
-//! that had departed, and deadlines that attempts state.
+//! that had departed, deadlines that attempts state, and readiness of restarted processes.
 //!
 //! [`measure`] reads the logs of a run into a recording, evaluates the recording and returns [`Margins`]. Imports go in
 //! that order: `process` fills the `recording`, the evaluation reads it, `report` and `table` print the `findings`;
@@ -15,6 +15,7 @@
 mod lost_requests;
 mod notification;
 mod process;
+mod readiness;
 mod recording;
 mod report;
 mod slow_start;
@@ -25,8 +26,8 @@
 
 pub use self::findings::{
     AnswerLateness, AttemptAfterDeparture, AttemptKind, BrokenLines, Capacity, ClientDepartures,
-    DiscoveryCalls, Gap, LostRequests, Margins, Notification, NotificationDelay, SendAfterDrain,
-    SlowStart, SlowStartWindow, StatedDeadline, StatedDeadlines,
+    DiscoveryCalls, Gap, LostRequests, Margins, Notification, NotificationDelay, Readiness,
+    ReadinessDelay, SendAfterDrain, SlowStart, SlowStartWindow, StatedDeadline, StatedDeadlines,
 };
 use self::process::ProcessRecorder;
 use self::recording::Recording;
--- a/crates/acceptance/src/margins/process.rs
+++ b/crates/acceptance/src/margins/process.rs
@@ -67,6 +67,11 @@
             TraceEvent::ListedServer(server) => self.record_server(line.at, server, recording),
             TraceEvent::DiscoveryCalled => recording.discovery_calls.total += 1,
             TraceEvent::DiscoveryFailed => recording.discovery_calls.failed += 1,
+            TraceEvent::BecameReady { since_launch } => {
+                process.launched = line.at.saturating_sub(since_launch);
+                process.ready_at = Some(line.at);
+                recording.diagnostics.readiness = true;
+            }
             TraceEvent::ShutdownRequested => {
                 process.shutdown_requested_at.get_or_insert(line.at);
                 recording.diagnostics.shutdown_or_exit = true;
@@ -138,6 +143,7 @@
         let previous = self
             .process
             .and_then(|index| recording.processes.get_mut(index));
+        let is_restart = previous.is_some();
         if let Some(previous) = previous {
             previous.is_replaced = true;
         }
@@ -147,7 +153,7 @@
             origin_kind: parameters.origin_kind,
             ..ProcessRecorder::default()
         };
-        self.process(at, recording);
+        self.process(at, recording).is_restart = is_restart;
         recording.parameters = Some(parameters);
     }
 
@@ -157,7 +163,10 @@
         if index == recording.processes.len() {
             recording.processes.push(RecordedProcess {
                 node: self.node,
+                launched: at,
+                is_restart: false,
                 is_replaced: false,
+                ready_at: None,
                 shutdown_requested_at: None,
                 has_exited: false,
                 last_line: at,
@@ -168,6 +177,9 @@
 
     fn record_server(&mut self, at: Micros, server: ListedServer, recording: &mut Recording) {
         recording.kinds.insert(server.id, server.kind);
+        if server.ready {
+            self.process(at, recording).ready_at.get_or_insert(at);
+        }
         let has_become_unready = self.list.set(at, server);
         if !self.list.is_cached() {
             record_start(at, server, recording);
--- a/crates/acceptance/src/margins/recording.rs
+++ b/crates/acceptance/src/margins/recording.rs
@@ -11,8 +11,14 @@
 #[derive(Debug)]
 pub(super) struct RecordedProcess {
     pub(super) node: u32,
+    /// When it was launched, or its trace began where that does not tell.
+    pub(super) launched: Micros,
+    /// Whether its node had a process before.
+    pub(super) is_restart: bool,
     /// Whether its node had another process after it.
     pub(super) is_replaced: bool,
+    /// When it was ready, or had a ready server in its list where its trace does not tell.
+    pub(super) ready_at: Option<Micros>,
     /// When it was asked to shut down.
     pub(super) shutdown_requested_at: Option<Micros>,
     /// Whether it ended by itself.
@@ -136,6 +142,7 @@
 /// Which of the lines that a node may leave out the traces have, or lack.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct DiagnosticLines {
+    pub(super) readiness: bool,
     pub(super) shutdown_or_exit: bool,
     /// Whether a departure was only told by the end of its request.
     pub(super) lacks_departures: bool,
@@ -157,6 +164,12 @@
         self.kinds.get(&server).copied().unwrap_or(-1)
     }
 
+    /// When the last line of all traces was written.
+    pub(super) fn end_of_day(&self) -> Micros {
+        let last_lines = self.processes.iter().map(|process| process.last_line);
+        last_lines.max().unwrap_or(0)
+    }
+
     /// The last start of a send's server before the send.
     pub(super) fn start_before(&self, send: &RecordedSend) -> KnownStart {
         let starts = self.starts.get(&send.server);
--- a/crates/acceptance/src/margins/report.rs
+++ b/crates/acceptance/src/margins/report.rs
@@ -4,7 +4,7 @@
 
 use super::findings::{
     AnswerLateness, AttemptAfterDeparture, AttemptKind, Capacity, ClientDepartures, Gap,
-    LostRequests, Margins, Notification, SendAfterDrain, SlowStart, SlowStartWindow,
+    LostRequests, Margins, Notification, Readiness, SendAfterDrain, SlowStart, SlowStartWindow,
     StatedDeadlines,
 };
 use super::limits::{STATED_DEADLINE_SLACK, is_blamed_on_notified};
@@ -31,6 +31,7 @@
         if self.stated_deadlines.recorded > 0 {
             writeln!(f, "deadline: {}", self.stated_deadlines)?;
         }
+        writeln!(f, "readiness: {}", self.readiness)?;
         writeln!(
             f,
             "requests by their end: {:?}; discovery: {} calls, {} failed",
@@ -241,6 +242,30 @@
     }
 }
 
+impl Display for Readiness {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        write!(
+            f,
+            "{} of {} restarted processes late, {} ended or were recorded too short to tell",
+            self.late, self.judged, self.undetermined
+        )?;
+        if let Some(slowest) = self.slowest {
+            let how = if slowest.became_ready {
+                "was ready after"
+            } else {
+                "was not ready for"
+            };
+            write!(
+                f,
+                "; the slowest, of node {}, {how} {:.3} s",
+                slowest.node,
+                seconds(slowest.delay)
+            )?;
+        }
+        Ok(())
+    }
+}
+
 impl Display for Gap {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -267,6 +292,10 @@
                 "whether a node closed a connection under a request itself (no `dropped` lines): such a request looks \
                  like a client's departure, or open"
             }
+            Gap::TimeOfReadiness => {
+                "when a process was launched and first answered PING (no `ready` lines): readiness counts from the \
+                 first line of its trace to its first ready server"
+            }
             Gap::EndOfProcess => {
                 "by what a process ended (no `terminate` or `exit` lines): what was open at its end is not judged"
             }
--- a/crates/acceptance/src/margins/table.rs
+++ b/crates/acceptance/src/margins/table.rs
@@ -2,7 +2,8 @@
 
 use super::findings::{Gap, Margins};
 use super::limits::{
-    ANSWER_LOST_AFTER, DEPARTURE_GRACE, NOTIFIED_AFTER, SOCKET_ALLOWANCE, STATED_DEADLINE_SLACK,
+    ANSWER_LOST_AFTER, DEPARTURE_GRACE, NOTIFIED_AFTER, READY_AT_LATEST, READY_LATE_SHARE,
+    SOCKET_ALLOWANCE, STATED_DEADLINE_SLACK,
 };
 use crate::trace::Micros;
 
@@ -23,6 +24,8 @@
 lost requests: requests that were read and had no final answer, or none until half a second after their deadline
 client departure: the latest attempt that began after its client had closed its connection
 deadline: the most that an attempt stated to its server beyond the time that was left to its client
+readiness, late: the part of the restarted processes that were not ready in 10 s (6 s, if the day ends sooner)
+readiness, slowest: the longest that a restarted process took to be ready
 none: nothing of the kind happened. not shown: the traces do not have what is needed. narrow: under a quarter of the \
 limit is left. over: beyond the limit
 ";
@@ -148,6 +151,12 @@
             },
             Row::time("client departure", self.latest_departure(), DEPARTURE_GRACE),
             Row::time("deadline", self.worst_deadline(), STATED_DEADLINE_SLACK),
+            self.late_readiness_row(),
+            Row::time(
+                "readiness, slowest",
+                self.slowest_readiness(),
+                READY_AT_LATEST,
+            ),
         ]
     }
 
@@ -192,6 +201,26 @@
         worst(stated.map(|stated| signed_seconds(stated.excess_us)))
     }
 
+    fn late_readiness_row(&self) -> Row {
+        let readiness = &self.readiness;
+        let measured = match (readiness.judged, readiness.undetermined) {
+            (0, 0) => Measured::Nothing,
+            (0, _) => Measured::NotShown,
+            (judged, _) => Measured::Worst(readiness.late as f64 / judged as f64),
+        };
+        Row::Figure {
+            name: "readiness, late",
+            measured,
+            limit: READY_LATE_SHARE,
+            unit: "of the restarts",
+        }
+    }
+
+    fn slowest_readiness(&self) -> Measured {
+        let slowest = self.readiness.slowest;
+        worst(slowest.map(|slowest| seconds(slowest.delay)))
+    }
+
     /// Whether a margin is narrow, less than a quarter of its limit, or a request was lost.
     pub fn is_narrow(&self) -> bool {
         self.rows().iter().any(Row::is_narrow)
--- a/crates/acceptance/src/trace.rs
+++ b/crates/acceptance/src/trace.rs
@@ -77,6 +77,11 @@
     DiscoveryCalled,
     /// A call to discovery failed or a watch broke.
     DiscoveryFailed,
+    /// The process answers `PING` with `PONG` from now on.
+    BecameReady {
+        /// How long ago the process was launched.
+        since_launch: Micros,
+    },
     /// The process was asked to shut down.
     ShutdownRequested,
     /// The process ends by itself.
@@ -225,6 +230,9 @@
 /// The lines that only the margins need. A node may leave them out.
 fn parse_diagnostic<'a>(word: &str, fields: &mut Fields<'a>) -> Option<TraceEvent<'a>> {
     Some(match word {
+        "ready" => TraceEvent::BecameReady {
+            since_launch: fields.number()?,
+        },
         "terminate" => TraceEvent::ShutdownRequested,
         "exit" => TraceEvent::Exited,
         "departed" => TraceEvent::ClientDeparted {
--- a/crates/acceptance/tests/margins.rs
+++ b/crates/acceptance/tests/margins.rs
@@ -11,7 +11,7 @@
 use acceptance::margins::{
     self, AnswerLateness, AttemptAfterDeparture, AttemptKind, BrokenLines, Capacity,
     ClientDepartures, LostRequests, Margins, MarginsError, Notification, NotificationDelay,
-    SendAfterDrain, StatedDeadline, StatedDeadlines,
+    Readiness, ReadinessDelay, SendAfterDrain, StatedDeadline, StatedDeadlines,
 };
 use tempfile::TempDir;
 
@@ -398,6 +398,65 @@
     }
 }
 
+/// The log of a node whose process was replaced at 1 s, and of which the new one had a list at some time.
+fn restarted(me: u32, ready_ms: Option<u64>) -> String {
+    let replacement = node(me, "").replace(&T0.to_string(), &at(1_000).to_string());
+    let list = ready_ms.map(|ms| line(ms, "list Full 2") + &server(ms, 1, "Ready", 0));
+    node(me, &server(0, 1, "Ready", 0)) + &replacement + &list.unwrap_or_default()
+}
+
+#[test]
+fn nine_in_ten_restarted_processes_are_ready_in_ten_seconds_six_if_the_day_ends_sooner() {
+    let day = |end_ms: u64| node(0, &server(0, 1, "Ready", 0)) + &line(end_ms, "ask true");
+    let readiness = |logs: &[String]| measured(logs).1.unwrap().readiness;
+    let slowest = |delay_ms: u64, became_ready| {
+        Some(ReadinessDelay {
+            node: 9,
+            delay: delay_ms * 1_000,
+            became_ready,
+        })
+    };
+    let mut logs: Vec<String> = (1..9).map(|me| restarted(me, Some(11_000))).collect();
+    logs.extend([restarted(9, Some(11_001)), day(40_000)]);
+    let found = Readiness {
+        judged: 9,
+        late: 1,
+        slowest: slowest(10_001, true),
+        undetermined: 0,
+    };
+    assert_eq!(readiness(&logs), found);
+    let table = measured(&logs).1.unwrap().table("roll");
+    assert!(
+        table.contains(
+            "| roll | readiness, late | 0.11 of the restarts | 0.10 of the restarts | -11% (over) |"
+        ),
+        "{table}"
+    );
+    // The day ends 9 s after the restart, or 5.9 s after it, and one of them is ready after 6.1 s.
+    let short = |end_ms, ready_ms| readiness(&[restarted(9, ready_ms), day(end_ms)]);
+    assert_eq!(
+        (
+            short(10_000, Some(7_100)).judged,
+            short(10_000, Some(7_100)).late
+        ),
+        (1, 1)
+    );
+    assert_eq!(
+        (short(10_000, None).judged, short(10_000, None).late),
+        (1, 1)
+    );
+    assert_eq!(
+        (short(6_900, None).judged, short(6_900, None).undetermined),
+        (0, 1)
+    );
+    assert_eq!(short(32_000, None).slowest, slowest(31_000, false));
+    // Where the trace tells it, it counts from the launch to the first PONG.
+    let told = restarted(9, Some(2_000)) + &line(3_000, "ready 2500000");
+    let margins = measured(&[told, day(40_000)]).1.unwrap();
+    assert_eq!(margins.readiness.slowest, slowest(2_500, true));
+    assert!(!margins.to_string().contains("no `ready` lines"));
+}
+
 #[test]
 fn a_request_that_was_read_is_lost_where_its_connection_or_process_ends_without_its_answer() {
     let log = node(1, &server(0, 1, "Ready", 0));
