--- a/crates/acceptance/src/margins/findings.rs
+++ b/crates/acceptance/src/margins/findings.rs
@@ -280,7 +280,7 @@
     TimeAtDiscovery,
     /// No trace tells of a new configuration.
     Reconfiguration,
-    /// No trace tells when bytes left the node.
+    /// No trace tells when bytes came to the node's machine and left it.
     TimeOfBytes,
     /// The traces do not have the deadlines that attempts state.
     StatedDeadlines,
--- a/crates/acceptance/src/margins/report.rs
+++ b/crates/acceptance/src/margins/report.rs
@@ -280,8 +280,8 @@
                 "when a new configuration came: that a change counts as notified 4 s after SIGHUP is not measured"
             }
             Gap::TimeOfBytes => {
-                "when bytes were written: attempts count from when their connection had them, answers from when they \
-                 were decided"
+                "when bytes came and went: requests count from when they were read, attempts from when their connection \
+                 had them, answers from when they were decided"
             }
             Gap::StatedDeadlines => "the deadlines that attempts state (no `deadline` lines)",
             Gap::TimeOfDeparture => {
