--- a/crates/acceptance/src/trace.rs
+++ b/crates/acceptance/src/trace.rs
@@ -28,6 +28,8 @@
         complete: bool,
         /// Whether it is the saved one that a process starts with.
         cached: bool,
+        /// Its version.
+        version: u64,
     },
     /// A server of the list before it.
     ListedServer(ListedServer),
@@ -75,6 +77,34 @@
     DiscoveryCalled,
     /// A call to discovery failed or a watch broke.
     DiscoveryFailed,
+    /// The process answers `PING` with `PONG` from now on.
+    BecameReady {
+        /// How long ago the process was launched.
+        since_launch: Micros,
+    },
+    /// The process was asked to shut down.
+    ShutdownRequested,
+    /// The process ends by itself.
+    Exited,
+    /// The close or reset of a client that waits for a request was read.
+    ClientDeparted {
+        /// Number of the request.
+        request: u64,
+    },
+    /// The node itself closed the connection of a request without an answer.
+    RequestDropped {
+        /// Number of the request.
+        request: u64,
+    },
+    /// An attempt states a deadline to its server.
+    DeadlineStated {
+        /// Number of its request.
+        request: u64,
+        /// Number of the attempt in the request, from 0.
+        attempt: u16,
+        /// How long the server is told that the node will wait, in milliseconds.
+        stated_ms: u64,
+    },
 }
 
 /// The settings that the rules are stated in.
@@ -192,11 +222,34 @@
         },
         "ask" => TraceEvent::DiscoveryCalled,
         "unheard" => TraceEvent::DiscoveryFailed,
-        _ => return None,
+        other => parse_diagnostic(other, &mut fields)?,
     };
     Some(TraceLine { at, event })
 }
 
+/// The lines that only the margins need. A node may leave them out.
+fn parse_diagnostic<'a>(word: &str, fields: &mut Fields<'a>) -> Option<TraceEvent<'a>> {
+    Some(match word {
+        "ready" => TraceEvent::BecameReady {
+            since_launch: fields.number()?,
+        },
+        "terminate" => TraceEvent::ShutdownRequested,
+        "exit" => TraceEvent::Exited,
+        "departed" => TraceEvent::ClientDeparted {
+            request: fields.number()?,
+        },
+        "dropped" => TraceEvent::RequestDropped {
+            request: fields.number()?,
+        },
+        "deadline" => TraceEvent::DeadlineStated {
+            request: fields.number()?,
+            attempt: fields.number()?,
+            stated_ms: fields.number()?,
+        },
+        _ => return None,
+    })
+}
+
 fn parse_parameters(fields: &mut Fields<'_>) -> Option<RuleParameters> {
     Some(RuleParameters {
         node: fields.number()?,
@@ -215,6 +268,7 @@
     Some(TraceEvent::ListReceived {
         complete: update != "Delta",
         cached: update == "Cached",
+        version: fields.number()?,
     })
 }
 
--- a/crates/acceptance/tests/margins.rs
+++ b/crates/acceptance/tests/margins.rs
@@ -9,8 +9,9 @@
 use std::fs;
 
 use acceptance::margins::{
-    self, AnswerLateness, BrokenLines, Capacity, Margins, MarginsError, NotificationDelay,
-    SendAfterDrain,
+    self, AnswerLateness, AttemptAfterDeparture, AttemptKind, BrokenLines, Capacity,
+    ClientDepartures, LostRequests, Margins, MarginsError, Notification, NotificationDelay,
+    Readiness, ReadinessDelay, SendAfterDrain, StatedDeadline, StatedDeadlines,
 };
 use tempfile::TempDir;
 
@@ -85,21 +86,21 @@
             seen_busy: true
         }
     );
-    let load = margins.warm_up_load.clone().unwrap();
+    let load = margins.slow_start.worst_windows[0].clone();
     // The window ends with the last of the crowd, 1.977 s after the start.
     let allowed: f64 = 2.5 * 10.0 * (0.2 + 0.8 * 0.977 / 20.0) * 2.0;
     assert_eq!(
-        (load.server, load.age, load.attempts, load.informed_attempts),
+        (load.server, load.age, load.attempts, load.notified_attempts),
         (2, 1_977_000, 22, 18)
     );
-    assert_eq!(load.answered, 4);
-    let collapse_limit = allowed + 3.0 * allowed.sqrt() + 3.0;
-    assert!((load.load - 22.0 / collapse_limit).abs() < 1e-9, "{load:?}");
+    assert_eq!((load.answered, load.nodes, load.notified_nodes), (4, 2, 1));
+    let budget = allowed + 3.0 * allowed.sqrt() + 3.0;
+    assert!((load.budget - budget).abs() < 1e-9, "{load:?}");
     assert!(margins.is_narrow());
     let table = margins.table("join");
     assert!(
         table.contains(
-            "| join | cold server | 0.87 of its fall | 1.00 of its fall | 13% (narrow) |"
+            "| join | slow start | 0.87 of the budget | 1.00 of the budget | 13% (narrow) |"
         ),
         "{table}"
     );
@@ -124,7 +125,7 @@
     let margins = margins.unwrap();
     assert_eq!(margins.send_after_drain, Some(drain(300, 2, false)));
     assert_eq!(
-        margins.notification_delay,
+        margins.notification.longest_delay,
         Some(NotificationDelay { delay: 0, node: 1 }),
         "the other was never notified, which its sends show"
     );
@@ -183,7 +184,12 @@
             client_name: "c5".into()
         })
     );
-    assert_eq!(margins.unanswered, 1);
+    let lost = LostRequests {
+        never_answered: 1,
+        undetermined: 1,
+        ..LostRequests::default()
+    };
+    assert_eq!((margins.lost_requests, lost.total()), (lost, 1));
     assert!(margins.is_narrow());
 }
 
@@ -200,11 +206,17 @@
     ];
     let (_folder, margins) = measured(&nodes);
     assert_eq!(
-        margins.unwrap().notification_delay,
-        Some(NotificationDelay {
-            delay: 3_500_000,
-            node: 2
-        })
+        margins.unwrap().notification,
+        Notification {
+            longest_delay: Some(NotificationDelay {
+                delay: 3_500_000,
+                node: 2
+            }),
+            longest_after_start: Some(NotificationDelay {
+                delay: 100_000,
+                node: 3
+            }),
+        }
     );
 }
 
@@ -220,8 +232,292 @@
             first: "trace 12 send 1".into()
         }
     );
-    assert_eq!(margins.warm_up_load, None);
+    assert_eq!(margins.slow_start.worst_windows, []);
     let (_folder, margins) = measured(&["cache-router: listening on trace 12\n".into()]);
     let error = margins.unwrap_err().to_string();
     assert!(error.starts_with("no trace in "), "{error}");
 }
+
+/// Splits the lines of a run over so many nodes, line by line in turn.
+fn shared_by(nodes: usize, list: &str, lines: &[String]) -> Vec<String> {
+    let mut logs: Vec<String> = (0..nodes).map(|me| node(me as u32, list)).collect();
+    for (i, line) in lines.iter().enumerate() {
+        logs[i % nodes] += line;
+    }
+    logs
+}
+
+#[test]
+fn the_slow_start_budget_leaves_two_roots_from_thirty_on_whatever_the_number_of_nodes() {
+    let started = at(1_000);
+    let list = server(0, 1, "Ready", 0)
+        + &server(0, 2, "Ready", started)
+        + &server(0, 3, "Ready", started);
+    // In the middle of the window that ends 11.5 s after its start a server has 0.62 of its capacity: 12.4 in the
+    // window.
+    let sends: Vec<String> = (0..41)
+        .map(|i| send(12_500 - (40 - i) * 40, 1_000 + i, 2))
+        .collect();
+    for nodes in [1, 5, 30, 300] {
+        let mut logs = shared_by(nodes, &list, &sends);
+        logs[0] += &(warm() + &send(12_500, 9_999, 3));
+        let (_folder, margins) = measured(&logs);
+        let margins = margins.unwrap();
+        let windows = &margins.slow_start.worst_windows;
+        assert_eq!(windows.len(), 2, "one for each restarted server");
+        let (busy, idle) = (&windows[0], &windows[1]);
+        assert_eq!((busy.server, busy.attempts, idle.server), (2, 41, 3));
+        assert_eq!(
+            (busy.notified_nodes, busy.nodes),
+            (nodes.min(41), nodes.min(41))
+        );
+        let allowed: f64 = 2.5 * 12.4;
+        assert!((busy.budget - (allowed + 2.0 * allowed.sqrt() + 2.0)).abs() < 1e-9);
+        assert!(margins.table("join").contains("0.93 of the budget"));
+    }
+}
+
+#[test]
+fn a_window_is_blamed_on_notified_nodes_beyond_two_thirds_and_unknown_capacity_is_said() {
+    let started = at(1_000);
+    let list = server(0, 2, "Ready", started);
+    let unaware = node(2, &server(0, 2, "Ready", 0)) + &send(1_500, 1, 2) + &send(1_501, 2, 2);
+    let aware: String = (0..4).map(|i| send(1_510 + i, i, 2)).collect();
+    let two_thirds = [
+        node(1, &(server(0, 1, "Ready", 0) + &list)) + &aware + &warm(),
+        unaware.clone(),
+    ];
+    let (_folder, margins) = measured(&two_thirds);
+    assert_eq!(margins.unwrap().slow_start.worst_windows, []);
+    let more = [two_thirds[0].clone() + &send(1_600, 5, 2), unaware];
+    let (_folder, margins) = measured(&more);
+    assert_eq!(
+        margins.unwrap().slow_start.worst_windows[0].notified_attempts,
+        5
+    );
+    let (_folder, margins) = measured(&[node(1, &list) + &aware]);
+    let margins = margins.unwrap();
+    assert_eq!(margins.slow_start.starts_of_unknown_capacity, 1);
+    assert!(
+        margins
+            .table("join")
+            .contains("| join | slow start | not shown |")
+    );
+}
+
+/// A request that has 400 ms.
+fn request(ms: u64, id: u64) -> String {
+    format!(
+        "trace {} request {id} 00000000000000aa 0 400000 c{id}\n",
+        at(ms)
+    )
+}
+
+fn line(ms: u64, fields: &str) -> String {
+    format!("trace {} {fields}\n", at(ms))
+}
+
+#[test]
+fn an_attempt_over_a_tenth_of_a_second_after_its_client_departed_is_a_lost_request() {
+    let list = server(0, 1, "Ready", 0) + "trace 1000000000 server 7 Ready 9 0 0\n";
+    let first = request(10, 1) + &line(100, "end 1 gone 0") + &line(190, "send 1 0 1");
+    let hedge = request(10, 2) + &line(20, "send 2 0 1") + &line(100, "end 2 gone 0");
+    let hedge = hedge + &line(220, "send 2 1 1");
+    let retry = request(10, 3) + &line(20, "send 3 0 1") + &line(90, "outcome 3 0 1 Reset None");
+    let retry = retry + &line(100, "end 3 gone 0") + &line(230, "send 3 1 1");
+    let origin = request(10, 4) + &line(20, "send 4 0 1") + &line(90, "outcome 4 0 1 Miss Miss");
+    let origin = origin + &line(100, "end 4 gone 0") + &line(260, "send 4 1 7");
+    let latest = |elapsed_ms: u64, kind, server, name: &str| AttemptAfterDeparture {
+        node: 1,
+        server,
+        kind,
+        client_name: name.into(),
+        elapsed: elapsed_ms * 1_000,
+    };
+    let cases = [
+        (&first, 0, latest(90, AttemptKind::First, 1, "c1")),
+        (&hedge, 1, latest(120, AttemptKind::Hedge, 1, "c2")),
+        (&retry, 1, latest(130, AttemptKind::Retry, 1, "c3")),
+        (&origin, 1, latest(160, AttemptKind::OriginCall, 7, "c4")),
+    ];
+    for (lines, lost, latest) in cases {
+        let (_folder, margins) = measured(&[node(1, &list) + lines]);
+        let margins = margins.unwrap();
+        let expected = ClientDepartures {
+            departures: 1,
+            attempts_after: 1,
+            lost,
+            latest: Some(latest),
+        };
+        assert_eq!(margins.client_departures, expected);
+        assert!(margins.is_narrow(), "{lines}");
+        assert!(margins.to_string().contains("no `departed` lines"));
+    }
+    // Where the trace tells when the close was read, it counts from then, though the node handled it later.
+    let told = request(10, 1) + &line(190, "send 1 0 1") + &line(20, "departed 1");
+    let (_folder, margins) = measured(&[node(1, &list) + &told + &line(191, "end 1 gone 0")]);
+    let margins = margins.unwrap();
+    assert_eq!(margins.client_departures.lost, 1);
+    let row = "| zone | client departure | 0.17 s | 0.10 s | -70% (over) |";
+    assert!(margins.table("zone").contains(row));
+    assert!(!margins.to_string().contains("no `departed` lines"));
+}
+
+#[test]
+fn a_stated_deadline_exceeds_what_is_left_by_at_most_the_slack_for_retries_too() {
+    let log = node(1, &server(0, 1, "Ready", 0)) + &request(10, 1);
+    let (_folder, margins) = measured(std::slice::from_ref(&log));
+    let margins = margins.unwrap();
+    assert!(
+        margins
+            .table("calm")
+            .contains("| calm | deadline | not shown | 0.15 s |  |")
+    );
+    assert!(
+        margins
+            .to_string()
+            .contains("not shown: the deadlines that attempts state")
+    );
+    // 400 ms are left at 10 ms, 210 ms at 200 ms.
+    let kept = log + &line(10, "deadline 1 0 400") + &line(200, "deadline 1 1 360");
+    let over = kept.clone() + &line(200, "deadline 1 2 361");
+    for (log, over_limit, excess_us, attempt) in [(kept, 0, 150_000, 1), (over, 1, 151_000, 2)] {
+        let (_folder, margins) = measured(&[log]);
+        let margins = margins.unwrap();
+        let expected = StatedDeadlines {
+            recorded: 2 + over_limit,
+            over_limit,
+            worst: Some(StatedDeadline {
+                excess_us,
+                node: 1,
+                client_name: "c1".into(),
+                attempt,
+            }),
+        };
+        assert_eq!(margins.stated_deadlines, expected);
+    }
+}
+
+/// The log of a node whose process was replaced at 1 s, and of which the new one had a list at some time.
+fn restarted(me: u32, ready_ms: Option<u64>) -> String {
+    let replacement = node(me, "").replace(&T0.to_string(), &at(1_000).to_string());
+    let list = ready_ms.map(|ms| line(ms, "list Full 2") + &server(ms, 1, "Ready", 0));
+    node(me, &server(0, 1, "Ready", 0)) + &replacement + &list.unwrap_or_default()
+}
+
+#[test]
+fn nine_in_ten_restarted_processes_are_ready_in_ten_seconds_six_if_the_day_ends_sooner() {
+    let day = |end_ms: u64| node(0, &server(0, 1, "Ready", 0)) + &line(end_ms, "ask true");
+    let readiness = |logs: &[String]| measured(logs).1.unwrap().readiness;
+    let slowest = |delay_ms: u64, became_ready| {
+        Some(ReadinessDelay {
+            node: 9,
+            delay: delay_ms * 1_000,
+            became_ready,
+        })
+    };
+    let mut logs: Vec<String> = (1..9).map(|me| restarted(me, Some(11_000))).collect();
+    logs.extend([restarted(9, Some(11_001)), day(40_000)]);
+    let found = Readiness {
+        judged: 9,
+        late: 1,
+        slowest: slowest(10_001, true),
+        undetermined: 0,
+    };
+    assert_eq!(readiness(&logs), found);
+    let table = measured(&logs).1.unwrap().table("roll");
+    assert!(
+        table.contains(
+            "| roll | readiness, late | 0.11 of the restarts | 0.10 of the restarts | -11% (over) |"
+        ),
+        "{table}"
+    );
+    // The day ends 9 s after the restart, or 5.9 s after it, and one of them is ready after 6.1 s.
+    let short = |end_ms, ready_ms| readiness(&[restarted(9, ready_ms), day(end_ms)]);
+    assert_eq!(
+        (
+            short(10_000, Some(7_100)).judged,
+            short(10_000, Some(7_100)).late
+        ),
+        (1, 1)
+    );
+    assert_eq!(
+        (short(10_000, None).judged, short(10_000, None).late),
+        (1, 1)
+    );
+    assert_eq!(
+        (short(6_900, None).judged, short(6_900, None).undetermined),
+        (0, 1)
+    );
+    assert_eq!(short(32_000, None).slowest, slowest(31_000, false));
+    // Where the trace tells it, it counts from the launch to the first PONG.
+    let told = restarted(9, Some(2_000)) + &line(3_000, "ready 2500000");
+    let margins = measured(&[told, day(40_000)]).1.unwrap();
+    assert_eq!(margins.readiness.slowest, slowest(2_500, true));
+    assert!(!margins.to_string().contains("no `ready` lines"));
+}
+
+#[test]
+fn a_request_that_was_read_is_lost_where_its_connection_or_process_ends_without_its_answer() {
+    let log = node(1, &server(0, 1, "Ready", 0));
+    let open = |ms, id| request(ms, id) + &line(ms + 1, "ask true");
+    let next = node(1, "").replace(&T0.to_string(), &at(9_000).to_string());
+    let lost = |text: String| measured(&[log.clone() + &text]).1.unwrap().lost_requests;
+    let of = |count: fn(&mut LostRequests)| {
+        let mut lost = LostRequests::default();
+        count(&mut lost);
+        lost
+    };
+    let dropped = open(10, 1) + &line(20, "dropped 1");
+    assert_eq!(lost(dropped.clone()), of(|lost| lost.dropped = 1));
+    let dropped = dropped + &line(20, "end 1 gone 0");
+    assert_eq!(lost(dropped), of(|lost| lost.dropped = 1));
+    let late = open(10, 1) + &line(911, "end 1 failed 501000");
+    assert_eq!(lost(late), of(|lost| lost.answered_too_late = 1));
+    assert_eq!(lost(open(10, 1)), of(|lost| lost.undetermined = 1));
+    let at_exit = open(10, 1) + &line(20, "exit");
+    assert_eq!(lost(at_exit), of(|lost| lost.open_at_exit = 1));
+    let at_kill = line(10, "terminate") + &open(711, 1) + &next;
+    assert_eq!(lost(at_kill), of(|lost| lost.open_at_kill = 1));
+    let crash = open(711, 1) + &next;
+    assert_eq!(lost(crash), of(|lost| lost.undetermined = 1));
+}
+
+#[test]
+fn a_new_process_gets_no_new_time_until_a_change_counts_as_notified() {
+    let ready = server(0, 1, "Ready", 0);
+    let change = |ms| line(ms, "list Delta 2") + &server(ms, 1, "Draining", 0);
+    let begun = |ms: u64| node(2, &ready).replace(&T0.to_string(), &at(ms).to_string());
+    let cached = |ms| line(ms, "list Cached 1") + &server(ms, 1, "Draining", 0);
+    let first = node(1, &ready) + &change(1_000);
+    let (_folder, margins) = measured(&[first.clone(), begun(3_000) + &change(6_500)]);
+    let margins = margins.unwrap();
+    let delay = |delay| Some(NotificationDelay { delay, node: 2 });
+    assert_eq!(margins.notification.longest_delay, delay(5_500_000));
+    assert!(
+        margins
+            .table("herd")
+            .contains("| herd | notification | 5.50 s | 6.00 s | 8% (narrow) |")
+    );
+    // One that was not told sends as if it had been, from 6 s after the first on.
+    let (_folder, margins) = measured(&[first.clone(), begun(6_900) + &send(7_200, 1, 1)]);
+    assert_eq!(margins.unwrap().send_after_drain.unwrap().elapsed, 200_000);
+    // That an older list comes late to another node does not bring the server back; that it starts again does.
+    let ready_again = |version: u64, started| {
+        let list = line(2_000, &format!("list Full {version}"));
+        node(3, "") + &list + &server(2_000, 1, "Ready", started) + &send(7_300, 2, 1)
+    };
+    for (again, elapsed) in [
+        (ready_again(1, 0), Some(300_000)),
+        (ready_again(3, 0), None),
+        (ready_again(1, at(1_500)), None),
+    ] {
+        let (_folder, margins) = measured(&[first.clone(), again]);
+        let send = margins.unwrap().send_after_drain;
+        assert_eq!(send.map(|send| send.elapsed), elapsed);
+    }
+    // A saved list notifies of nothing.
+    let (_folder, margins) = measured(&[first, node(2, "") + &cached(5_000)]);
+    let longest = margins.unwrap().notification.longest_delay;
+    assert_eq!(longest, Some(NotificationDelay { delay: 0, node: 1 }));
+}
