--- a/crates/cache-router/src/main.rs
+++ b/crates/cache-router/src/main.rs
@@ -3,6 +3,7 @@
 use std::process::ExitCode;
 
 use cache_router::startup;
+use router_config::logging;
 
 /// The exit code of a router that could not start.
 const CANNOT_START: u8 = 2;
@@ -12,7 +13,9 @@
         Ok(()) => ExitCode::SUCCESS,
         // One line, whatever the level of the log is.
         Err(error) => {
-            eprintln!("cache-router: {error}");
+            let line = format!("cache-router: {error}\n");
+            logging::standard_error().push(line.into_bytes());
+            logging::standard_error().flush();
             ExitCode::from(CANNOT_START)
         }
     }
--- a/crates/cache-router/src/trace.rs
+++ b/crates/cache-router/src/trace.rs
@@ -3,8 +3,8 @@
 //! the lines and their fields.
 
 use std::fmt::Arguments;
-use std::io::Write;
 
+use router_config::logging;
 use routing_policy::{AttemptStatus, CacheLookup, EndpointState, ListUpdate, Micros};
 
 /// The writer of trace lines.
@@ -19,11 +19,12 @@
         Trace { is_enabled }
     }
 
-    /// Writes a line for something that happened at a time (Unix time in microseconds). As with the log, a failed write
-    /// does not stop the router. If the trace is off, the fields are not even formatted.
+    /// Writes a line for something that happened at a time (Unix time in microseconds). As with the log, neither a
+    /// blocked nor a failed write stops the router. If the trace is off, the fields are not even formatted.
     pub fn line(&self, at: Micros, fields: Arguments<'_>) {
         if self.is_enabled {
-            let _ = std::io::stderr().write_all(format!("trace {at} {fields}\n").as_bytes());
+            let line = format!("trace {at} {fields}\n");
+            logging::standard_error().push(line.into_bytes());
         }
     }
 }
--- a/crates/cache-router/tests/router_process/support/process.rs
+++ b/crates/cache-router/tests/router_process/support/process.rs
@@ -3,11 +3,11 @@
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::process::{Child, Command, ExitStatus, Stdio};
+use std::process::{Child, ChildStderr, Command, ExitStatus, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::mpsc::{Receiver, channel};
 
-use super::{Client, PATIENCE};
+use super::{Client, PATIENCE, wait_until};
 
 /// The number of the next configuration file.
 static NEXT_FILE: AtomicU32 = AtomicU32::new(0);
@@ -20,6 +20,21 @@
     pub shell_command: &'static str,
     /// Its settings.
     pub settings: String,
+    /// Who reads its log.
+    pub log_reader: LogReader,
+    /// Whether it writes its trace.
+    pub has_trace: bool,
+}
+
+/// Who reads the log of a router.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub enum LogReader {
+    /// The test, line by line.
+    Test,
+    /// Nobody, though the pipe stays open: it fills up.
+    Stalled,
+    /// Nobody any more: the pipe is closed.
+    Gone,
 }
 
 impl Default for StartOptions {
@@ -28,6 +43,8 @@
             sockets: 256,
             shell_command: "",
             settings: settings().into(),
+            log_reader: LogReader::Test,
+            has_trace: false,
         }
     }
 }
@@ -62,8 +79,13 @@
 pub struct RouterProcess {
     child: Child,
     pub address: SocketAddr,
-    /// The lines of its log after the first.
+    /// The lines of its log after the first; none if the test does not read it.
     pub log: Receiver<String>,
+    #[expect(
+        dead_code,
+        reason = "a log that nobody reads is open for as long as it is kept"
+    )]
+    unread_log: Option<ChildStderr>,
     config_path: PathBuf,
     /// What was in the configuration file at the start.
     initial_config: String,
@@ -83,6 +105,8 @@
             sockets,
             shell_command,
             settings,
+            log_reader,
+            has_trace,
         } = options;
         let initial_config = format!(
             r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"0a","limits":{{"sockets":{sockets}}},"known":{cached_list},"settings":{settings}}}"#
@@ -95,24 +119,27 @@
             .env("ROUTER_CONFIG", &config_path)
             .env_remove("ROUTER_LISTEN")
             .env("ROUTER_DISCOVERY", discovery.to_string())
+            .env("CACHE_ROUTER_NODE__TRACE", has_trace.to_string())
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
-        let mut lines = BufReader::new(child.stderr.take().unwrap())
-            .lines()
-            .map_while(Result::ok);
-        let first = lines.next().expect("a first line in the log");
-        let address = first
-            .rsplit(' ')
-            .next()
-            .and_then(|address| address.parse().ok())
-            .expect("an address in the log");
-        let (sender, log) = channel();
-        std::thread::spawn(move || lines.for_each(|line| drop(sender.send(line))));
+        let output = child.stderr.take().unwrap();
+        let (address, log, unread_log) = match log_reader {
+            LogReader::Test => {
+                let (address, log) = read_log(output);
+                (address, log, None)
+            }
+            LogReader::Stalled => (listening_address(child.id()), channel().1, Some(output)),
+            LogReader::Gone => {
+                drop(output);
+                (listening_address(child.id()), channel().1, None)
+            }
+        };
         RouterProcess {
             child,
             address,
             log,
+            unread_log,
             config_path,
             initial_config,
         }
@@ -169,6 +196,46 @@
     }
 }
 
+/// The address that the first line of a log names, and the lines after it.
+fn read_log(output: ChildStderr) -> (SocketAddr, Receiver<String>) {
+    let mut lines = BufReader::new(output).lines().map_while(Result::ok);
+    let first = lines.next().expect("a first line in the log");
+    let address = first
+        .rsplit(' ')
+        .next()
+        .and_then(|address| address.parse().ok())
+        .expect("an address in the log");
+    let (sender, log) = channel();
+    std::thread::spawn(move || lines.for_each(|line| drop(sender.send(line))));
+    (address, log)
+}
+
+/// The address on which a process listens, from the system's tables, once it listens.
+fn listening_address(process: u32) -> SocketAddr {
+    let mut address = None;
+    wait_until("the router listens", || {
+        address = find_listening_address(process);
+        address.is_some()
+    });
+    address.unwrap()
+}
+
+fn find_listening_address(process: u32) -> Option<SocketAddr> {
+    let sockets: Vec<String> = std::fs::read_dir(format!("/proc/{process}/fd"))
+        .ok()?
+        .filter_map(|entry| std::fs::read_link(entry.ok()?.path()).ok())
+        .map(|target| target.display().to_string())
+        .collect();
+    let table = std::fs::read_to_string(format!("/proc/{process}/net/tcp")).ok()?;
+    table.lines().skip(1).find_map(|line| {
+        let fields: Vec<&str> = line.split_whitespace().collect();
+        let (local, state, inode) = (fields[1], fields[3], fields[9]);
+        let is_listening = state == "0A" && sockets.contains(&format!("socket:[{inode}]"));
+        let port = u16::from_str_radix(local.rsplit(':').next()?, 16).ok()?;
+        is_listening.then(|| SocketAddr::from(([127, 0, 0, 1], port)))
+    })
+}
+
 /// Writes a configuration file of its own for each router.
 pub fn config_file(text: &str) -> PathBuf {
     let number = NEXT_FILE.fetch_add(1, Ordering::Relaxed);
--- a/crates/router-config/src/logging/mod.rs
+++ b/crates/router-config/src/logging/mod.rs
@@ -1,6 +1,9 @@
 //! Logging for all programs: `tracing` lines on standard error, as text or JSON, from the level that the
-//! configuration names. [`RepeatLimiter`] limits how often a line from one place in the program is repeated.
+//! configuration names. [`RepeatLimiter`] limits how often a line from one place in the program is repeated; a
+//! [`LineQueue`] keeps a log that blocks or fails from stopping the program.
 
+mod line_queue;
+mod notice;
 mod repeat_limiter;
 
 use std::sync::Arc;
@@ -12,6 +15,7 @@
 use tracing_subscriber::layer::{Layer, SubscriberExt};
 use tracing_subscriber::registry::Registry;
 
+pub use self::line_queue::{LineQueue, LineWriter, standard_error};
 pub use self::repeat_limiter::{CodeLocation, RepeatLimiter};
 use self::repeat_limiter::{RepeatLimitLayer, ReportSuppressed};
 use crate::schema::{Format, Level, Log};
@@ -21,24 +25,33 @@
 #[error("logging is set up already in this process")]
 pub struct AlreadySet;
 
-/// Reports, when dropped at the end of the program, how many lines were suppressed and not yet reported.
+/// Reports, when dropped at the end of the program, how many lines were suppressed and not yet reported, and waits a
+/// moment for lines that are not written yet.
 #[must_use = "dropped at once, it reports no line that is suppressed later"]
 pub struct Guard {
     limiter: Arc<dyn ReportSuppressed + Send + Sync>,
+    queue: Option<LineQueue>,
 }
 
 impl Drop for Guard {
     fn drop(&mut self) {
         self.limiter.report_suppressed();
+        if let Some(queue) = &self.queue {
+            queue.flush();
+        }
     }
 }
 
-/// Sends all lines of this process to standard error, and warns if deprecated environment variables were read.
+/// Sends all lines of this process to standard error, and warns if deprecated environment variables were read. Neither
+/// a standard error that blocks nor one that fails stops the process.
 ///
 /// # Errors
 /// Where logging was set up before.
 pub fn init(log: &Log) -> Result<Guard, AlreadySet> {
-    let (subscriber, guard) = subscriber(log, std::io::stderr);
+    let queue = standard_error();
+    queue.set_format(log.format);
+    let (subscriber, mut guard) = subscriber(log, queue.clone());
+    guard.queue = Some(queue.clone());
     set_global_default(subscriber).map_err(|_| AlreadySet)?;
     log.deprecated_variables.log_warning();
     Ok(guard)
@@ -52,6 +65,7 @@
     let limiter = Arc::new(RepeatLimiter::new(log, writer.clone()));
     let guard = Guard {
         limiter: limiter.clone(),
+        queue: None,
     };
     let lines = tracing_subscriber::fmt::layer()
         .with_ansi(false)
--- a/crates/router-config/src/logging/repeat_limiter.rs
+++ b/crates/router-config/src/logging/repeat_limiter.rs
@@ -2,6 +2,7 @@
 //! request cannot fill a disk. The lines over the limit are counted, and the count is written in their place.
 
 use std::collections::HashMap;
+use std::fmt::{self, Display, Formatter};
 use std::io::Write;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -10,6 +11,7 @@
 use tracing_subscriber::fmt::MakeWriter;
 use tracing_subscriber::layer::{Context, Layer};
 
+use super::notice::Notice;
 use crate::schema::{Format, Log};
 
 /// A place in the source code that writes log lines.
@@ -31,6 +33,12 @@
     }
 }
 
+impl Display for CodeLocation {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        write!(f, "{}:{}", self.file, self.line)
+    }
+}
+
 /// The lines of one code location in the current interval.
 struct Interval {
     began: Instant,
@@ -99,26 +107,13 @@
         if suppressed == 0 {
             return;
         }
-        let at = format!("{}:{}", location.file, location.line);
-        let mut writer = self.writer.make_writer();
-        let written = match self.format {
-            Format::Text => writeln!(
-                writer,
-                "WARN log: {suppressed} more lines from {at} were left out"
-            ),
-            Format::Json => {
-                let line = serde_json::json!({
-                    "level": "WARN",
-                    "target": "log",
-                    "left_out": suppressed,
-                    "at": at,
-                    "message": "lines were left out",
-                });
-                writeln!(writer, "{line}")
-            }
+        let notice = Notice::Suppressed {
+            lines: suppressed,
+            location,
         };
+        let line = notice.to_line(self.format);
         // A log that cannot be written to is no reason to stop.
-        drop(written);
+        let _ = self.writer.make_writer().write_all(&line);
     }
 }
 
