--- /dev/null
+++ b/crates/cache-router/tests/listener.rs
@@ -0,0 +1,105 @@
+//! The listener, whose calls of accept(2) fail as a script says.
+#![allow(
+    missing_docs,
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "test code"
+)]
+
+use std::future;
+use std::io;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use cache_router::client_context::ClientContext;
+use cache_router::clock::Clock;
+use cache_router::lifecycle::LifecyclePhase;
+use cache_router::listener::{ConnectionSource, listen};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::{Semaphore, mpsc, watch};
+use tokio::time::Instant;
+
+/// Slots for clients in all.
+const SLOTS: usize = 8;
+
+/// What a call of accept(2) comes to.
+enum Accepted {
+    Connection(TcpStream),
+    Failure(i32),
+}
+
+/// Connections and failures in the order in which they come, and nothing after them.
+struct Script(Mutex<std::vec::IntoIter<Accepted>>);
+
+impl ConnectionSource for Script {
+    async fn accept(&self) -> io::Result<TcpStream> {
+        let next = self.0.lock().unwrap().next();
+        match next {
+            Some(Accepted::Connection(stream)) => Ok(stream),
+            Some(Accepted::Failure(errno)) => Err(io::Error::from_raw_os_error(errno)),
+            None => future::pending().await,
+        }
+    }
+}
+
+/// Both ends of a connection.
+async fn connection() -> (TcpStream, TcpStream) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let address = listener.local_addr().unwrap();
+    let (client, accepted) = tokio::join!(TcpStream::connect(address), listener.accept());
+    (client.unwrap(), accepted.unwrap().0)
+}
+
+fn context(phase: LifecyclePhase) -> (Arc<ClientContext>, watch::Sender<LifecyclePhase>) {
+    let (events, _) = mpsc::channel(16);
+    let (phase_sender, lifecycle) = watch::channel(phase);
+    let deployment = routing_policy::settings::read(br#"{"classes":[{"name":"read"}]}"#).unwrap();
+    let context = ClientContext {
+        deployment: Arc::new(deployment),
+        clock: Clock::start(),
+        events,
+        lifecycle,
+        connection_slots: Arc::new(Semaphore::new(SLOTS)),
+        reserved_slots: 1,
+        idle_connections: Arc::default(),
+        request_slots: Arc::new(Semaphore::new(16)),
+    };
+    (Arc::new(context), phase_sender)
+}
+
+/// How long it takes until a connection behind some failures is accepted.
+async fn accepted_after(phase: LifecyclePhase, failures: Vec<i32>) -> Duration {
+    let (_client, server) = connection().await;
+    let mut script: Vec<_> = failures.into_iter().map(Accepted::Failure).collect();
+    script.push(Accepted::Connection(server));
+    let (context, _phase) = context(phase);
+    let listener = Script(Mutex::new(script.into_iter()));
+    let since = Instant::now();
+    let listening = tokio::spawn(listen(listener, context.clone()));
+    while context.connection_slots.available_permits() == SLOTS {
+        assert!(!listening.is_finished(), "the listener has ended too early");
+        tokio::time::sleep(Duration::from_millis(1)).await;
+    }
+    listening.abort();
+    since.elapsed()
+}
+
+const PHASES: [LifecyclePhase; 2] = [LifecyclePhase::Ready, LifecyclePhase::Draining];
+
+#[tokio::test(start_paused = true)]
+async fn the_connection_behind_one_that_has_failed_is_accepted_at_once() {
+    for phase in PHASES {
+        let failures = vec![libc::ECONNABORTED, libc::EINTR, libc::EPROTO];
+        let waited = accepted_after(phase, failures).await;
+        assert!(waited <= Duration::from_millis(1), "{phase:?}: {waited:?}");
+    }
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_connection_that_the_kernel_holds_while_descriptors_lack_is_accepted_soon_after() {
+    for phase in PHASES {
+        let waited = accepted_after(phase, vec![libc::EMFILE; 4]).await;
+        let allowed = Duration::from_millis(4)..=Duration::from_millis(40);
+        assert!(allowed.contains(&waited), "{phase:?}: {waited:?}");
+    }
+}
--- a/crates/cache-router/tests/socket/main.rs
+++ b/crates/cache-router/tests/socket/main.rs
@@ -8,4 +8,5 @@
 
 mod connect;
 mod errors;
+mod listen;
 mod stream;
