--- a/crates/cache-router/src/signals.rs
+++ b/crates/cache-router/src/signals.rs
@@ -1,19 +1,33 @@
 //! The signals that the process receives: SIGTERM and SIGINT shut the router down, SIGHUP has it read its configuration
 //! file again for another address of discovery.
+//!
+//! A signal's handler may do little: it sets a flag and writes a byte to a socket on which the runtime waits. The flag
+//! is what counts. The byte only ends the runtime's sleep, and is not needed if its write fails: the runtime looks at
+//! the flags whenever it goes to sleep and whenever it wakes up, and a signal wakes it up by itself. Only a signal that
+//! arrives in the moment between the last look and the sleep, and whose byte is lost too, waits for the next event.
 
 use std::future;
 use std::io;
 use std::net::SocketAddr;
+use std::os::unix::net::UnixStream as StdUnixStream;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use tokio::signal::unix::{Signal, SignalKind, signal};
-use tokio::sync::mpsc;
-use tokio::time::{Instant, sleep_until};
+use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
+use signal_hook::{flag, low_level};
+use tokio::net::UnixStream;
+use tokio::sync::{Notify, mpsc};
+use tokio::time::{Instant, sleep, sleep_until};
 use tracing::{info, warn};
 
 use crate::config;
 use crate::message::RouterEvent;
+use crate::socket::errors::{ErrorMeaning, classify, is_not_ready};
+use crate::socket::stream::LOCAL_RETRY_PAUSE;
 
+/// How many bytes of wake-ups are read at a time.
+const WAKE_UPS_READ: usize = 64;
 /// After SIGHUP, the file is read again after these pauses, until it names another address of discovery: it may be
 /// replaced at that moment. What discovery reports counts as known 4 s after the signal.
 const REREAD_PAUSES: [Duration; 6] = [
@@ -33,43 +47,119 @@
     reads_before: usize,
 }
 
-/// Receives the process's signals and reports them to the event loop.
-pub struct SignalHandler {
-    terminate: Signal,
-    interrupt: Signal,
-    hangup: Signal,
-    events: mpsc::Sender<RouterEvent>,
-    /// The address of discovery when the file was last read.
-    discovery: SocketAddr,
+/// The signals that have arrived and are not handled yet.
+#[derive(Default)]
+pub struct PendingSignals {
+    shutdown: Arc<AtomicBool>,
+    reload: Arc<AtomicBool>,
+    /// Wakes the task that handles them.
+    arrived: Notify,
 }
 
-impl SignalHandler {
-    /// Takes the signals over from the system.
+impl PendingSignals {
+    /// Whether the router has been told to shut down and has not begun to.
+    pub fn is_shutdown_requested(&self) -> bool {
+        self.shutdown.load(Ordering::SeqCst)
+    }
+
+    /// Wakes the task that handles signals if there are any. The runtime calls this before and after each sleep.
+    pub fn wake_handler(&self) {
+        if self.is_shutdown_requested() || self.reload.load(Ordering::SeqCst) {
+            self.arrived.notify_one();
+        }
+    }
+}
+
+/// The bytes that the handlers of signals write, before the runtime waits for them.
+pub struct UnregisteredWakeUps(StdUnixStream);
+
+/// The bytes that the handlers of signals write.
+pub struct WakeUps(UnixStream);
+
+/// Takes the signals over from the system.
+///
+/// # Errors
+/// If the system does not allow it. It can be tried again.
+pub fn install(pending: &PendingSignals) -> io::Result<UnregisteredWakeUps> {
+    let (receiver, sender) = StdUnixStream::pair()?;
+    receiver.set_nonblocking(true)?;
+    let signals = [
+        (SIGTERM, &pending.shutdown),
+        (SIGINT, &pending.shutdown),
+        (SIGHUP, &pending.reload),
+    ];
+    for (signal, is_pending) in signals {
+        flag::register(signal, is_pending.clone())?;
+        low_level::pipe::register(signal, sender.try_clone()?)?;
+    }
+    Ok(receiver.into())
+}
+
+impl From<StdUnixStream> for UnregisteredWakeUps {
+    /// From a socket that does not block.
+    fn from(receiver: StdUnixStream) -> Self {
+        UnregisteredWakeUps(receiver)
+    }
+}
+
+impl UnregisteredWakeUps {
+    /// Has the runtime in whose context this is called wait for them.
     ///
     /// # Errors
-    /// If the system does not allow it.
-    pub fn install(
-        events: mpsc::Sender<RouterEvent>,
-        discovery: SocketAddr,
-    ) -> io::Result<SignalHandler> {
-        Ok(SignalHandler {
-            terminate: signal(SignalKind::terminate())?,
-            interrupt: signal(SignalKind::interrupt())?,
-            hangup: signal(SignalKind::hangup())?,
-            events,
-            discovery,
-        })
+    /// If the system does not allow it. It can be tried again.
+    pub fn in_runtime(&self) -> io::Result<WakeUps> {
+        UnixStream::from_std(self.0.try_clone()?).map(WakeUps)
     }
+}
+
+impl WakeUps {
+    /// Waits for a byte, and reads all that there are.
+    async fn wait(&self) {
+        if self.0.readable().await.is_err() {
+            // The runtime shuts down.
+            return future::pending().await;
+        }
+        let mut sink = [0; WAKE_UPS_READ];
+        loop {
+            match self.0.try_read(&mut sink) {
+                // The handlers never close it.
+                Ok(0) => return future::pending().await,
+                Ok(_) => {}
+                Err(error) if is_not_ready(&error) => return,
+                Err(error) if classify(&error) == ErrorMeaning::RetryNow => {}
+                Err(_) => sleep(LOCAL_RETRY_PAUSE).await,
+            }
+        }
+    }
+}
 
+/// Receives the process's signals and reports them to the event loop.
+pub struct SignalHandler {
+    /// The signals that have arrived.
+    pub signals: Arc<PendingSignals>,
+    /// What tells that there are any.
+    pub wake_ups: WakeUps,
+    /// The event loop.
+    pub events: mpsc::Sender<RouterEvent>,
+    /// The address of discovery when the file was last read.
+    pub discovery: SocketAddr,
+}
+
+impl SignalHandler {
     /// Handles signals until the task is ended.
     pub async fn run(mut self) {
         let mut next_read: Option<ScheduledRead> = None;
         loop {
+            if self.signals.shutdown.swap(false, Ordering::SeqCst) {
+                self.request_shutdown().await;
+            }
+            // Also during a shutdown: its last requests must not go to a server that drains.
+            if self.signals.reload.swap(false, Ordering::SeqCst) {
+                next_read = self.read_configuration(0).await;
+            }
             tokio::select! {
-                _ = self.terminate.recv() => self.request_shutdown().await,
-                _ = self.interrupt.recv() => self.request_shutdown().await,
-                // Also during a shutdown: its last requests must not go to a server that drains.
-                _ = self.hangup.recv() => next_read = self.read_configuration(0).await,
+                () = self.signals.arrived.notified() => {}
+                () = self.wake_ups.wait() => {}
                 reads_before = due(next_read) => {
                     next_read = self.read_configuration(reads_before).await;
                 }
--- a/crates/cache-router/src/startup.rs
+++ b/crates/cache-router/src/startup.rs
@@ -6,6 +6,7 @@
 
 use router_config::{Layers, logging};
 use tokio::net::TcpListener;
+use tokio::runtime::Runtime;
 use tokio::sync::{Semaphore, mpsc, watch};
 use tracing::info;
 
@@ -14,7 +15,7 @@
 use crate::event_loop::{EventLoop, EventLoopConfig};
 use crate::lifecycle::LifecyclePhase;
 use crate::listener::{self, ClientContext};
-use crate::signals::SignalHandler;
+use crate::signals::{self, PendingSignals, SignalHandler};
 use crate::trace::Trace;
 
 /// Events that wait between the other tasks and the event loop.
@@ -57,21 +58,41 @@
     let _flushes_log_when_dropped = logging::init(&settings.log)?;
     let config = Config::from_env().map_err(StartError::Config)?;
     let address = config.listen;
+    let signals = Arc::new(PendingSignals::default());
+    build_runtime(&signals)
+        .and_then(|runtime| {
+            let trace = Trace::new(settings.node.trace);
+            runtime.block_on(serve(config, trace, signals))
+        })
+        .map_err(|source| StartError::Listen { address, source })
+}
+
+/// The runtime, which looks for signals whenever it goes to sleep or wakes up.
+///
+/// # Errors
+/// If the system does not have what it needs. It can be tried again.
+pub fn build_runtime(signals: &Arc<PendingSignals>) -> io::Result<Runtime> {
+    let (before_sleep, after_sleep) = (signals.clone(), signals.clone());
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
+        .on_thread_park(move || before_sleep.wake_handler())
+        .on_thread_unpark(move || after_sleep.wake_handler())
         .build()
-        .and_then(|runtime| runtime.block_on(serve(config, Trace::new(settings.node.trace))))
-        .map_err(|source| StartError::Listen { address, source })
 }
 
 /// Starts the router's tasks, and runs the event loop until the router has shut down.
-async fn serve(config: Config, trace: Trace) -> io::Result<()> {
+async fn serve(config: Config, trace: Trace, signals: Arc<PendingSignals>) -> io::Result<()> {
     let (events, received_events) = mpsc::channel(EVENT_CAPACITY);
     let (phase, phase_of_clients) = watch::channel(LifecyclePhase::Starting);
     let clock = Clock::start();
     let max_connections = connections_per_side(config.max_sockets);
     let client_capacity = Arc::new(Semaphore::new(max_connections));
-    let signals = SignalHandler::install(events.clone(), config.discovery)?;
+    let signal_handler = SignalHandler {
+        wake_ups: signals::install(&signals)?.in_runtime()?,
+        signals,
+        events: events.clone(),
+        discovery: config.discovery,
+    };
     let listener = TcpListener::bind(config.listen).await?;
     // The address stays part of the message: whoever starts the router on port 0 reads the port from it.
     info!("listening on {}", listener.local_addr()?);
@@ -88,7 +109,7 @@
         request_slots: Arc::new(Semaphore::new(max_open_requests)),
     };
     tokio::spawn(listener::listen(listener, Arc::new(client_context)));
-    tokio::spawn(signals.run());
+    tokio::spawn(signal_handler.run());
     let event_loop = EventLoop::new(EventLoopConfig {
         deployment,
         seed: config.seed,
