--- a/crates/cache-router/src/config.rs
+++ b/crates/cache-router/src/config.rs
@@ -49,7 +49,7 @@
         name: &'static str,
     },
     /// The file can't be read.
-    #[error("cannot read {path}: {source}")]
+    #[error("cannot read {path}: {source}; check the path in `$ROUTER_CONFIG` and who may read it")]
     Unreadable {
         /// Path of the file.
         path: String,
@@ -88,6 +88,21 @@
     },
 }
 
+impl ConfigError {
+    /// Whether the file may be usable in a moment: it cannot be read, or is cut off or no JSON, as a file that is just
+    /// being written. A file that is whole stays as it is.
+    pub fn may_pass(&self) -> bool {
+        match self {
+            ConfigError::Unreadable { .. } => true,
+            ConfigError::Malformed { source, .. } => source.is_eof() || source.is_syntax(),
+            ConfigError::UnsetVariable { .. }
+            | ConfigError::InvalidField { .. }
+            | ConfigError::Settings { .. }
+            | ConfigError::NoClass { .. } => false,
+        }
+    }
+}
+
 /// The configuration file. Its keys are the platform's.
 #[derive(Deserialize, Default)]
 #[serde(default)]
--- a/crates/cache-router/src/signals.rs
+++ b/crates/cache-router/src/signals.rs
@@ -29,14 +29,15 @@
 /// How many bytes of wake-ups are read at a time.
 const WAKE_UPS_READ: usize = 64;
 /// After SIGHUP, the file is read again after these pauses, until it names another address of discovery: it may be
-/// replaced at that moment. What discovery reports counts as known 4 s after the signal.
-const REREAD_PAUSES: [Duration; 6] = [
+/// replaced at that moment, or not be readable. What discovery reports counts as known 4 s after the signal.
+const REREAD_PAUSES: [Duration; 7] = [
     Duration::from_millis(20),
     Duration::from_millis(50),
     Duration::from_millis(100),
     Duration::from_millis(200),
     Duration::from_millis(400),
     Duration::from_millis(800),
+    Duration::from_millis(1_000),
 ];
 
 /// A read of the configuration file that is due.
--- a/crates/cache-router/src/startup.rs
+++ b/crates/cache-router/src/startup.rs
@@ -1,23 +1,32 @@
-//! The start of the router: reads its configuration, shares out its sockets, and starts its tasks.
+//! The start of the router: reads its configuration, shares out its sockets, and starts its tasks. A step that fails
+//! for a moment is tried again.
+
+mod error;
+pub mod retry;
 
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
+use std::thread;
+use std::time::{Duration, Instant};
 
 use router_config::{Layers, logging};
 use tokio::net::TcpListener;
 use tokio::runtime::Runtime;
 use tokio::sync::{Semaphore, mpsc, watch};
-use tracing::info;
+use tracing::{dispatcher, info, warn};
 
+use self::retry::{Environment, FILE_TIMEOUT, Retries, START_TIMEOUT};
 use crate::clock::Clock;
-use crate::config::{Config, ConfigError};
+use crate::config::Config;
 use crate::event_loop::{EventLoop, EventLoopConfig};
 use crate::lifecycle::LifecyclePhase;
 use crate::listener::{self, ClientContext};
-use crate::signals::{self, PendingSignals, SignalHandler};
+use crate::signals::{self, PendingSignals, SignalHandler, WakeUps};
 use crate::trace::Trace;
 
+pub use self::error::StartError;
+
 /// Events that wait between the other tasks and the event loop.
 const EVENT_CAPACITY: usize = 1024;
 /// Requests accepted and not yet replied to; each may hold a value of 64 KiB.
@@ -27,26 +36,34 @@
 /// One in this many of the client connections is reserved for rejections.
 const CLIENTS_PER_REJECTION: usize = 8;
 
-/// Why the router does not start.
-#[derive(Debug, thiserror::Error)]
-pub enum StartError {
-    /// The settings of the program can't be used.
-    #[error(transparent)]
-    Settings(#[from] router_config::ConfigError),
-    /// The log can't be set up.
-    #[error(transparent)]
-    Logging(#[from] logging::AlreadySet),
-    /// The configuration can't be used.
-    #[error("{0}")]
-    Config(ConfigError),
-    /// The address for clients can't be listened on, or the runtime is not to be had.
-    #[error("cannot listen on {address}: {source}")]
-    Listen {
-        /// The address for clients.
-        address: SocketAddr,
-        /// The cause.
-        source: io::Error,
-    },
+/// The process that starts.
+struct StartingProcess {
+    signals: Arc<PendingSignals>,
+}
+
+impl Environment for StartingProcess {
+    fn now(&self) -> Instant {
+        Instant::now()
+    }
+
+    fn pause(&self, duration: Duration) {
+        thread::sleep(duration);
+    }
+
+    fn is_shutdown_requested(&self) -> bool {
+        self.signals.is_shutdown_requested()
+    }
+
+    fn report(&self, error: &StartError, remaining: Duration) {
+        let remaining_ms = remaining.as_millis();
+        if dispatcher::has_been_set() {
+            warn!(%error, remaining_ms, "the start has failed, trying again");
+            return;
+        }
+        // The settings of the log are not read yet.
+        let line = format!("cache-router: {error}; trying again for {remaining_ms} ms\n");
+        logging::standard_error().push(line.into_bytes());
+    }
 }
 
 /// Runs the router as the environment configures it, until it has shut down.
@@ -54,17 +71,43 @@
 /// # Errors
 /// If the router can't start.
 pub fn run() -> Result<(), StartError> {
-    let settings = Layers::from_env().read()?;
-    let _flushes_log_when_dropped = logging::init(&settings.log)?;
-    let config = Config::from_env().map_err(StartError::Config)?;
-    let address = config.listen;
+    match start_and_serve() {
+        Err(StartError::ShutDown) => Ok(()),
+        result => result,
+    }
+}
+
+fn start_and_serve() -> Result<(), StartError> {
     let signals = Arc::new(PendingSignals::default());
-    build_runtime(&signals)
-        .and_then(|runtime| {
-            let trace = Trace::new(settings.node.trace);
-            runtime.block_on(serve(config, trace, signals))
-        })
-        .map_err(|source| StartError::Listen { address, source })
+    let retries = Retries::new(StartingProcess {
+        signals: signals.clone(),
+    });
+    // First of all: a signal that has no handler ends the process.
+    let unregistered = retries.run(START_TIMEOUT, || {
+        signals::install(&signals).map_err(StartError::Signals)
+    })?;
+    let settings = retries.run(FILE_TIMEOUT, || Ok(Layers::from_env().read()?))?;
+    let _flushes_log_when_dropped = logging::init(&settings.log)?;
+    let config = retries.run(FILE_TIMEOUT, || {
+        Config::from_env().map_err(StartError::Config)
+    })?;
+    let runtime = retries.run(START_TIMEOUT, || {
+        build_runtime(&signals).map_err(StartError::Runtime)
+    })?;
+    let listener = retries.run(START_TIMEOUT, || listen(&runtime, config.listen))?;
+    let wake_ups = retries.run(START_TIMEOUT, || {
+        let _in_runtime = runtime.enter();
+        unregistered.in_runtime().map_err(StartError::Signals)
+    })?;
+    drop(unregistered);
+    runtime.block_on(serve(StartedRouter {
+        config,
+        trace: Trace::new(settings.node.trace),
+        listener,
+        signals,
+        wake_ups,
+    }));
+    Ok(())
 }
 
 /// The runtime, which looks for signals whenever it goes to sleep or wakes up.
@@ -80,22 +123,36 @@
         .build()
 }
 
+/// Listens for clients.
+fn listen(runtime: &Runtime, address: SocketAddr) -> Result<TcpListener, StartError> {
+    let open = async {
+        let listener = TcpListener::bind(address).await?;
+        // The address stays part of the message: whoever starts the router on port 0 reads the port from it.
+        info!("listening on {}", listener.local_addr()?);
+        Ok(listener)
+    };
+    runtime
+        .block_on(open)
+        .map_err(|source| StartError::Listen { address, source })
+}
+
+/// What the start has made.
+struct StartedRouter {
+    config: Config,
+    trace: Trace,
+    listener: TcpListener,
+    signals: Arc<PendingSignals>,
+    wake_ups: WakeUps,
+}
+
 /// Starts the router's tasks, and runs the event loop until the router has shut down.
-async fn serve(config: Config, trace: Trace, signals: Arc<PendingSignals>) -> io::Result<()> {
+async fn serve(router: StartedRouter) {
+    let config = router.config;
     let (events, received_events) = mpsc::channel(EVENT_CAPACITY);
     let (phase, phase_of_clients) = watch::channel(LifecyclePhase::Starting);
     let clock = Clock::start();
     let max_connections = connections_per_side(config.max_sockets);
     let client_capacity = Arc::new(Semaphore::new(max_connections));
-    let signal_handler = SignalHandler {
-        wake_ups: signals::install(&signals)?.in_runtime()?,
-        signals,
-        events: events.clone(),
-        discovery: config.discovery,
-    };
-    let listener = TcpListener::bind(config.listen).await?;
-    // The address stays part of the message: whoever starts the router on port 0 reads the port from it.
-    info!("listening on {}", listener.local_addr()?);
     let deployment = Arc::new(config.deployment);
     let max_open_requests = deployment.max_open.min(MAX_OPEN_REQUESTS);
     let client_context = ClientContext {
@@ -108,7 +165,13 @@
         idle_connections: Arc::default(),
         request_slots: Arc::new(Semaphore::new(max_open_requests)),
     };
-    tokio::spawn(listener::listen(listener, Arc::new(client_context)));
+    tokio::spawn(listener::listen(router.listener, Arc::new(client_context)));
+    let signal_handler = SignalHandler {
+        signals: router.signals,
+        wake_ups: router.wake_ups,
+        events: events.clone(),
+        discovery: config.discovery,
+    };
     tokio::spawn(signal_handler.run());
     let event_loop = EventLoop::new(EventLoopConfig {
         deployment,
@@ -119,12 +182,11 @@
         events,
         phase,
         clock,
-        trace,
+        trace: router.trace,
     });
     // All of the capacity, that of rejections included: their clients may have replies to be written.
     let is_idle = move || client_capacity.available_permits() >= max_connections;
     event_loop.run(received_events, is_idle).await;
-    Ok(())
 }
 
 /// The table of sockets is shared out beforehand: clients have one half, servers the other.
--- a/crates/cache-router/tests/router_process/main.rs
+++ b/crates/cache-router/tests/router_process/main.rs
@@ -13,4 +13,5 @@
 mod requests;
 mod server_failures;
 mod shutdown;
+mod start;
 mod support;
