--- a/crates/cache-router/tests/router_process/main.rs
+++ b/crates/cache-router/tests/router_process/main.rs
@@ -9,7 +9,9 @@
 mod configuration;
 mod connection_limits;
 mod endpoint_lists;
+mod log;
 mod requests;
 mod server_failures;
 mod shutdown;
+mod start;
 mod support;
