--- a/crates/cache-router/src/event_loop.rs
+++ b/crates/cache-router/src/event_loop.rs
@@ -4,10 +4,13 @@
 //! The layers below it import each other in one direction only: the policy driver runs the policy and carries out its
 //! actions, the dispatcher sends attempts over connections, and the tables of requests, endpoints and timers hold state.
 
+pub mod clock_offset;
 pub mod dispatcher;
 pub mod endpoints;
 pub mod in_flight;
 pub mod policy_driver;
+pub mod restamp;
+pub mod server_starts;
 pub mod timers;
 
 use std::net::SocketAddr;
--- a/crates/cache-router/src/event_loop/dispatcher/endpoint_update.rs
+++ b/crates/cache-router/src/event_loop/dispatcher/endpoint_update.rs
@@ -3,6 +3,7 @@
 use routing_policy::{AttemptStatus, Endpoint, EndpointState, Event, ListUpdate, Micros, ServerId};
 
 use super::Dispatcher;
+use crate::clock::{Moment, UnixTime};
 use crate::event_loop::endpoints::EndpointChange;
 use crate::message::EndpointListUpdate;
 use crate::trace;
@@ -10,8 +11,9 @@
 impl Dispatcher {
     /// Puts an update of the endpoint list into force.
     pub fn apply_endpoint_update(&mut self, update: &EndpointListUpdate, kind: ListUpdate) {
-        let now = self.clock.now();
-        let applied = self.endpoints.apply(update, kind, now);
+        let moment = Moment::now(self.clock);
+        let now = moment.at;
+        let applied = self.endpoints.apply(update, kind, moment);
         for change in applied.changes {
             self.adapt_connections(change, now);
         }
@@ -55,6 +57,7 @@
             format_args!("list {} {version}", trace::update_word(kind)),
         );
         for endpoint in endpoints {
+            let stamp = self.endpoints.start_stamp(endpoint.id);
             self.trace.line(
                 now,
                 format_args!(
@@ -63,7 +66,7 @@
                     trace::state_word(endpoint.state),
                     endpoint.kind,
                     endpoint.zone,
-                    endpoint.started
+                    stamp.map_or(0, UnixTime::micros)
                 ),
             );
         }
--- a/crates/cache-router/src/event_loop/endpoints.rs
+++ b/crates/cache-router/src/event_loop/endpoints.rs
@@ -8,20 +8,21 @@
 use routing_policy::{Endpoint, EndpointState, ListUpdate, Micros, ServerId};
 use xxhash_rust::xxh3::xxh3_64;
 
+use super::server_starts::{ListedStart, ServerStarts};
+use crate::clock::{Moment, UnixTime};
 use crate::message::{DiscoveredEndpoint, EndpointListUpdate, ServerProtocol, ServerTarget};
 
 /// The index that the policy is given for a machine kind that the settings don't name.
 const UNKNOWN_KIND: u16 = u16::MAX;
 /// The index that the policy is given for a zone that the settings don't name.
 const UNKNOWN_ZONE: usize = 255;
-/// Microseconds in a millisecond.
-const MICROS_PER_MILLISECOND: Micros = 1_000;
 
 /// A server of the list.
 struct Server {
     address: SocketAddr,
     protocol: ServerProtocol,
-    state: EndpointState,
+    /// As the policy sees it.
+    endpoint: Endpoint,
     /// When it last sent a response; 0 if never.
     last_response_at: Micros,
 }
@@ -72,6 +73,7 @@
 /// The servers of the endpoint list in force.
 pub struct EndpointTable {
     servers: HashMap<ServerId, Server>,
+    starts: ServerStarts,
     deployment: Arc<Deployment>,
 }
 
@@ -80,6 +82,7 @@
     pub fn new(deployment: Arc<Deployment>) -> Self {
         EndpointTable {
             servers: HashMap::new(),
+            starts: ServerStarts::default(),
             deployment,
         }
     }
@@ -98,14 +101,14 @@
     /// Where a server is reached, if it accepts new requests.
     pub fn ready_target(&self, server: ServerId) -> Option<ServerTarget> {
         let found = self.servers.get(&server)?;
-        (found.state == EndpointState::Ready).then(|| found.target(server))
+        (found.endpoint.state == EndpointState::Ready).then(|| found.target(server))
     }
 
     /// Whether any server accepts requests.
     pub fn any_ready(&self) -> bool {
         self.servers
             .values()
-            .any(|server| server.state == EndpointState::Ready)
+            .any(|server| server.endpoint.state == EndpointState::Ready)
     }
 
     /// A server has sent a response.
@@ -127,34 +130,66 @@
         &mut self,
         update: &EndpointListUpdate,
         kind: ListUpdate,
-        now: Micros,
+        moment: Moment,
     ) -> AppliedUpdate {
+        self.record_starts(update, kind, moment);
         let mut applied = AppliedUpdate {
             endpoints: Vec::with_capacity(update.endpoints.len()),
             ..AppliedUpdate::default()
         };
         for discovered in &update.endpoints {
-            let id = xxh3_64(discovered.name.as_bytes()) as ServerId;
+            let id = server_id(discovered);
             let Some(address) = self.resolve_address(id, discovered) else {
                 continue;
             };
-            let endpoint = self.describe(id, discovered, now);
+            let endpoint = self.describe(id, discovered);
             applied.changes.push(self.replace(&endpoint, address));
             applied.endpoints.push(endpoint);
         }
-        applied.removed = self.remove_missing(&applied.endpoints, kind);
+        applied.removed = self.remove_missing(&applied.endpoints, kind, moment.at);
         applied.not_ready = ids_where(&applied.endpoints, |state| state != EndpointState::Ready);
         applied.not_ready.extend(&applied.removed);
+        let revised = self.revise_starts(&applied.endpoints, moment);
+        applied.endpoints.extend(revised);
         applied
     }
 
+    /// Discovery's stamp of a server's start; `None` for long ago.
+    pub fn start_stamp(&self, server: ServerId) -> Option<UnixTime> {
+        self.starts.stamp(server)
+    }
+
+    fn record_starts(&mut self, update: &EndpointListUpdate, kind: ListUpdate, moment: Moment) {
+        let listed: Vec<_> = update.endpoints.iter().map(listed_start).collect();
+        if kind == ListUpdate::Cached {
+            self.starts.record_cached_list(&listed, moment);
+        } else {
+            self.starts.record_list(&listed, moment);
+        }
+    }
+
+    /// The endpoints whose start the update shows to be later than was believed, but for those that it lists.
+    fn revise_starts(&mut self, listed: &[Endpoint], moment: Moment) -> Vec<Endpoint> {
+        let warm_up_period = self.deployment.settings.warm_up_period;
+        let mut endpoints = Vec::new();
+        for id in self.starts.revise(warm_up_period, moment) {
+            let is_listed = listed.iter().any(|endpoint| endpoint.id == id);
+            let Some(server) = self.servers.get_mut(&id).filter(|_| !is_listed) else {
+                continue;
+            };
+            server.endpoint.started = self.starts.started_at(id);
+            endpoints.push(server.endpoint.clone());
+        }
+        endpoints
+    }
+
     fn resolve_address(&self, id: ServerId, discovered: &DiscoveredEndpoint) -> Option<SocketAddr> {
         let known = || self.servers.get(&id).map(|server| server.address);
         discovered.address.parse().ok().or_else(known)
     }
 
     /// The endpoint as the policy sees it.
-    fn describe(&self, id: ServerId, discovered: &DiscoveredEndpoint, now: Micros) -> Endpoint {
+    fn describe(&self, id: ServerId, discovered: &DiscoveredEndpoint) -> Endpoint {
         let kind = index_of(&self.deployment.kinds, &discovered.kind)
             .unwrap_or(usize::from(UNKNOWN_KIND)) as u16;
         let zone = index_of(&self.deployment.zones, &discovered.zone).unwrap_or(UNKNOWN_ZONE) as u8;
@@ -164,7 +199,7 @@
             cell: discovered.cell,
             kind,
             weight: discovered.weight,
-            started: started_at(discovered, now),
+            started: self.starts.started_at(id),
             state: endpoint_state(&discovered.status),
         }
     }
@@ -184,7 +219,7 @@
         let server = Server {
             address,
             protocol,
-            state: endpoint.state,
+            endpoint: endpoint.clone(),
             last_response_at,
         };
         let before = self.servers.insert(endpoint.id, server);
@@ -200,7 +235,12 @@
     }
 
     /// Removes the servers that an update removes, and those that a complete list does not name.
-    fn remove_missing(&mut self, listed: &[Endpoint], kind: ListUpdate) -> Vec<ServerId> {
+    fn remove_missing(
+        &mut self,
+        listed: &[Endpoint],
+        kind: ListUpdate,
+        now: Micros,
+    ) -> Vec<ServerId> {
         let mut removed = ids_where(listed, |state| state == EndpointState::Removed);
         if kind != ListUpdate::Delta {
             let is_listed = |id: &ServerId| listed.iter().any(|endpoint| endpoint.id == *id);
@@ -208,6 +248,7 @@
         }
         for id in &removed {
             self.servers.remove(id);
+            self.starts.remove(*id, now);
         }
         removed
     }
@@ -222,16 +263,16 @@
     }
 }
 
-/// When the process of an endpoint started, on the policy's clock, which is Unix time here. 0 (not known) stays 0, and
-/// nothing has started in the future.
-fn started_at(discovered: &DiscoveredEndpoint, now: Micros) -> Micros {
-    if discovered.started_ms == 0 {
-        return 0;
+fn server_id(discovered: &DiscoveredEndpoint) -> ServerId {
+    xxh3_64(discovered.name.as_bytes()) as ServerId
+}
+
+fn listed_start(discovered: &DiscoveredEndpoint) -> ListedStart {
+    let is_known = discovered.started_ms != 0;
+    ListedStart {
+        server: server_id(discovered),
+        stamp: is_known.then(|| UnixTime::from_millis(discovered.started_ms)),
     }
-    discovered
-        .started_ms
-        .saturating_mul(MICROS_PER_MILLISECOND)
-        .min(now)
 }
 
 fn index_of(names: &[String], name: &str) -> Option<usize> {
