--- a/crates/cache-router/src/discovery.rs
+++ b/crates/cache-router/src/discovery.rs
@@ -113,10 +113,15 @@
         self.context.begin_call()
     }
 
+    /// Whether a call was made to discovery's present address.
+    pub fn is_to_present_address(&self, call: &DiscoveryCall) -> bool {
+        call.address_generation == self.context.address_generation
+    }
+
     /// How current an update is: events of two calls can cross on their way to the event loop.
     pub fn freshness(&self, call: &DiscoveryCall, update: &EndpointListUpdate) -> UpdateFreshness {
         let held_version = self.context.held_version.load(Ordering::Relaxed);
-        if call.address_generation != self.context.address_generation {
+        if !self.is_to_present_address(call) {
             return UpdateFreshness::Stale;
         }
         if update.version >= held_version {
@@ -281,7 +286,12 @@
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        for update in decoder.decode(&data)? {
+        let updates = decoder.decode(&data)?;
+        if data.trim_ascii().is_empty() && decoder.incomplete_since().is_none() {
+            let event = RouterEvent::EndpointListUnchanged(call);
+            let _ = context.events.send(event).await;
+        }
+        for update in updates {
             let event = RouterEvent::EndpointList(call, update);
             let _ = context.events.send(event).await;
         }
--- a/crates/cache-router/src/event_loop.rs
+++ b/crates/cache-router/src/event_loop.rs
@@ -209,6 +209,11 @@
                 self.driver.run();
             }
             RouterEvent::EndpointList(call, update) => self.handle_endpoint_list(&call, &update),
+            RouterEvent::EndpointListUnchanged(call) => {
+                if self.driver.discovery().is_to_present_address(&call) {
+                    self.driver.dispatcher_mut().confirm_endpoint_list();
+                }
+            }
             RouterEvent::DiscoveryFailed(call) => {
                 self.handle_failed_call(&call, ListUpdate::Failed);
             }
--- a/crates/cache-router/src/event_loop/dispatcher/endpoint_update.rs
+++ b/crates/cache-router/src/event_loop/dispatcher/endpoint_update.rs
@@ -30,6 +30,11 @@
         }
     }
 
+    /// The endpoint list in force has not changed up to now.
+    pub fn confirm_endpoint_list(&mut self) {
+        self.endpoints.confirm(self.clock.now());
+    }
+
     fn adapt_connections(&mut self, change: EndpointChange, now: Micros) {
         let server = change.target.server;
         let is_ready = change.state == EndpointState::Ready;
--- a/crates/cache-router/src/event_loop/endpoints.rs
+++ b/crates/cache-router/src/event_loop/endpoints.rs
@@ -154,6 +154,11 @@
         applied
     }
 
+    /// Discovery says that the list in force has not changed.
+    pub fn confirm(&mut self, now: Micros) {
+        self.starts.confirm_list(now);
+    }
+
     /// Discovery's stamp of a server's start; `None` for long ago.
     pub fn start_stamp(&self, server: ServerId) -> Option<UnixTime> {
         self.starts.stamp(server)
--- a/crates/cache-router/src/event_loop/server_starts.rs
+++ b/crates/cache-router/src/event_loop/server_starts.rs
@@ -8,6 +8,7 @@
 //!
 //! 1. **Bounds on the router's clock.** A process has not started later than a list first had its stamp, nor, if an
 //!    earlier list had the same server with another stamp, before that list. The start lies within, whatever clocks say.
+//!    While nothing changes, the empty lines of a watch confirm the list, so that the bounds are close.
 //! 2. **Unix time where it agrees.** Within the bounds the stamp, put on the router's clock by the wall clock, is the
 //!    start. With clocks that agree it is exact, and lists that come late make no server younger than it is.
 //! 3. **The offset of discovery's clock.** Each start with bounds gives a range for the difference between the clocks;
@@ -30,7 +31,7 @@
 //! A stamp of 0 says only that the start was long ago: it is no restart of a server whose start is known.
 //!
 //! What is not covered: a wall clock that is ahead when the router starts, until the next start with bounds; one that is
-//! wrong by less than the time since the last list; servers stamped anew one list after another, or all of them having
+//! wrong by less than the time since the last list or empty line; servers stamped anew one list after another, or all of them having
 //! started within seconds of each other, which count as restarted and warm up once.
 
 use std::collections::HashMap;
@@ -100,7 +101,12 @@
     /// Takes a list that has just come from discovery.
     pub fn record_list(&mut self, listed: &[ListedStart], moment: Moment) {
         self.record_cached_list(listed, moment);
-        self.list_before_at = self.last_list_at.replace(moment.at);
+        self.confirm_list(moment.at);
+    }
+
+    /// The list that was taken last, be it the cached one, is still in force.
+    pub fn confirm_list(&mut self, now: Micros) {
+        self.list_before_at = self.last_list_at.replace(now);
     }
 
     /// Takes a list that was kept from an earlier time, nobody knows which.
--- a/crates/cache-router/src/message.rs
+++ b/crates/cache-router/src/message.rs
@@ -20,6 +20,8 @@
     ServerConnection(ConnectionId, ServerConnectionEvent),
     /// A call to discovery returned the endpoint list or a change of it.
     EndpointList(DiscoveryCall, EndpointListUpdate),
+    /// The watch sent an empty line: the endpoint list that it has told is still in force.
+    EndpointListUnchanged(DiscoveryCall),
     /// A call to discovery failed, or the watch broke.
     DiscoveryFailed(DiscoveryCall),
     /// The watch was open and then sent nothing for too long.
