--- a/crates/cache-router/tests/server_starts/main.rs
+++ b/crates/cache-router/tests/server_starts/main.rs
@@ -148,11 +148,14 @@
         let returned = node.starts(BEGIN + 5 * SECOND, ListUpdate::Full, &[("a", a), ("b", b)]);
         assert_eq!(returned, first, "error {error}");
         node.apply(BEGIN + 6 * SECOND, ListUpdate::Full, &[("b", b)]);
-        let restart = node.stamp(BEGIN + 6 * SECOND);
+        // The list that does not have it comes after its restart.
+        let started = BEGIN + 11 * SECOND / 2;
+        let restart = node.stamp(started);
         let listed_at = BEGIN + 8 * SECOND;
         let starts = node.starts(listed_at, ListUpdate::Delta, &[("a", restart)]);
         let possible = BEGIN + 5 * SECOND..=listed_at;
         assert!(possible.contains(&starts[0]), "error {error}: {starts:?}");
+        assert!(error != 0 || starts[0] == started, "{starts:?}");
     }
 }
 
@@ -184,7 +187,7 @@
     let first = node.apply(BEGIN, ListUpdate::Full, &servers);
     assert_eq!(first[0].started, BEGIN - SECOND - HOUR);
     let restart = node.stamp(BEGIN + 3 * SECOND);
-    let listed_at = BEGIN + 4 * SECOND;
+    let listed_at = BEGIN + 6 * SECOND;
     let told = node.apply(listed_at, ListUpdate::Delta, &[("old", restart)]);
     let starts: HashMap<_, _> = told.iter().map(|told| (told.id, told.started)).collect();
     assert_eq!(
@@ -223,20 +226,49 @@
 #[test]
 fn servers_that_restart_together_are_cold_though_clocks_are_wrong() {
     for error in ERRORS {
-        let mut node = Node::new(error);
         let names = ["a", "b", "c", "d", "e"];
-        let old = names.iter().zip(1..);
-        let servers: Vec<_> = old
-            .map(|(name, age)| (*name, node.stamp(BEGIN - age * HOUR)))
-            .collect();
-        node.apply(BEGIN, ListUpdate::Full, &servers);
-        node.discovery_error -= 3_600;
-        let servers = names.map(|name| (name, node.stamp(BEGIN + SECOND)));
-        let starts = node.starts(BEGIN + 2 * SECOND, ListUpdate::Full, &servers);
-        assert!(starts.iter().all(|at| *at > BEGIN), "{error}: {starts:?}");
+        // They had started hours apart, or together.
+        for apart in [HOUR, 0] {
+            let mut node = Node::new(error);
+            let old = names.iter().zip(1..);
+            let servers: Vec<_> = old
+                .map(|(name, age)| (*name, node.stamp(BEGIN - HOUR - age * apart)))
+                .collect();
+            node.apply(BEGIN, ListUpdate::Full, &servers);
+            node.discovery_error -= 3_600;
+            let servers = names.map(|name| (name, node.stamp(BEGIN + SECOND)));
+            let starts = node.starts(BEGIN + 2 * SECOND, ListUpdate::Full, &servers);
+            assert!(starts.iter().all(|at| *at > BEGIN), "{error}: {starts:?}");
+        }
     }
 }
 
+#[test]
+fn servers_that_restart_in_the_same_steps_as_before_have_restarted() {
+    let mut node = Node::new(0);
+    let at = |node: &Node, begin: Micros| {
+        let offsets = [0, 20, 40, 60].map(|seconds| node.stamp(begin + seconds * SECOND));
+        let names = ["a", "b", "c", "d"];
+        [0, 1, 2, 3].map(|i| (names[i], offsets[i]))
+    };
+    let servers = at(&node, BEGIN - HOUR);
+    node.apply(BEGIN, ListUpdate::Full, &servers);
+    let servers = at(&node, BEGIN + 30 * SECOND);
+    let starts = node.starts(BEGIN + 95 * SECOND, ListUpdate::Full, &servers);
+    let expected = [30, 50, 70, 90].map(|seconds| BEGIN + seconds * SECOND);
+    assert_eq!(starts, expected);
+}
+
+#[test]
+fn a_stamp_that_goes_back_from_the_cached_list_to_the_first_one_is_a_restart() {
+    let mut node = Node::new(0);
+    let cached = node.stamp(BEGIN - 10 * SECOND);
+    let before = node.starts(BEGIN, ListUpdate::Cached, &[("a", cached)]);
+    let first = node.stamp(BEGIN - 30 * SECOND);
+    let starts = node.starts(BEGIN + SECOND, ListUpdate::Full, &[("a", first)]);
+    assert!(starts[0] > before[0], "{before:?} {starts:?}");
+}
+
 #[test]
 fn stamps_out_of_all_range_are_taken_without_harm_to_other_servers() {
     let extreme = [u64::MAX, u64::MAX / 1_000, i64::MAX as u64, 1, 0];
@@ -248,6 +280,8 @@
             let starts = node.starts(BEGIN, ListUpdate::Full, &list);
             assert!(starts[0] <= BEGIN, "{starts:?}");
             assert_eq!(starts[1], BEGIN - SECOND, "{stamp}");
+            let behind = Node::new(-3_600).starts(BEGIN, ListUpdate::Full, &list);
+            assert_eq!(behind[1], BEGIN, "{stamp}");
             let at = BEGIN + SECOND;
             let changed = node.starts(at, ListUpdate::Full, &[("x", other), ("cold", cold)]);
             assert!(changed[0] <= at, "{changed:?}");
