--- a/crates/routing-policy/src/policy/endpoints.rs
+++ b/crates/routing-policy/src/policy/endpoints.rs
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Takes one line of the list; returns the server if it has just started.
+    /// Takes one line of the list; returns the server if it has just started: each restart has a later start.
     fn update_server(&mut self, endpoint: Endpoint) -> Option<ServerId> {
         let server = self.fleet.servers.entry(endpoint.id).or_default();
         server.is_origin = self.settings.origin_kind == Some(endpoint.kind);
--- a/crates/routing-policy/src/state/server.rs
+++ b/crates/routing-policy/src/state/server.rs
@@ -75,7 +75,7 @@
 
     /// Whether it is past the time in which a started process warms up.
     pub(crate) fn is_warm(&self, now: Micros, warm_up_period: Micros) -> bool {
-        self.endpoint.started + warm_up_period <= now
+        self.endpoint.started.saturating_add(warm_up_period) <= now
     }
 
     /// Whether two servers know of each other's requests with idempotency keys. The origin is a group of its
--- a/crates/routing-policy/tests/slow_start.rs
+++ b/crates/routing-policy/tests/slow_start.rs
@@ -404,3 +404,21 @@
         "{of_four} where it collapses at four times that"
     );
 }
+
+#[test]
+fn a_start_beyond_all_time_is_that_of_a_cold_server() {
+    let mut router = Router::new(settings(), 3);
+    let started = u64::MAX;
+    router.list(
+        ListUpdate::Delta,
+        vec![Endpoint {
+            started,
+            ..server(2)
+        }],
+    );
+    for id in 1..=30 {
+        router.advance(10 * MS);
+        let to = sent_to(&router.request(read(id, id))).unwrap();
+        router.outcome(id, 0, to, AttemptStatus::Served);
+    }
+}
