--- a/crates/cache-router/src/event_loop/server_starts.rs
+++ b/crates/cache-router/src/event_loop/server_starts.rs
@@ -28,7 +28,9 @@
 //! 6. **Stamps that move alike** on most servers at once ([`CommonShift`]) and can't be restarts by the bounds are the
 //!    same processes under a clock that was stepped. All keep their ages.
 //!
-//! A stamp of 0 says only that the start was long ago: it is no restart of a server whose start is known.
+//! A stamp of 0 says only that the start was long ago: it is no restart of a server whose start is known. The first stamp of
+//! a server that had none is a restart. A list that comes late, behind one that was sent after the start, makes a server
+//! younger than it is by that delay at the most.
 //!
 //! What is not covered: a wall clock that is ahead when the router starts, until the next start with bounds; one that is
 //! wrong by less than the time since the last list or empty line; servers stamped anew one list after another, or all of them having
@@ -42,8 +44,8 @@
 use super::restamp::{CommonShift, StampChange};
 use crate::clock::{Moment, UnixTime};
 
-/// No clock is set wrong by more than this, in microseconds: a stamp further in the future says nothing about others.
-const LARGEST_STEP: Micros = 24 * 3_600 * 1_000_000;
+/// No clock says the year 2169, in microseconds: a stamp from then on says nothing about other servers.
+const LATEST_STAMP: Micros = 200 * 365 * 24 * 3_600 * 1_000_000;
 /// A server that is not listed any more is remembered for this long, in microseconds, as it may return.
 const REMEMBERED_FOR: Micros = 3_600 * 1_000_000;
 
@@ -114,7 +116,7 @@
         self.forget_unlisted(moment.at);
         self.follow_restamp(listed, moment);
         self.observe_restarts(listed, moment);
-        let newest = newest_possible(listed, moment);
+        let newest = newest_possible(listed);
         for start in listed {
             self.record_start(*start, newest, moment);
         }
@@ -326,9 +328,8 @@
     }
 }
 
-/// The newest stamp of a list that a clock set wrong can explain.
-fn newest_possible(listed: &[ListedStart], moment: Moment) -> Option<UnixTime> {
-    let latest = UnixTime::from_micros(moment.unix.micros().saturating_add(LARGEST_STEP));
+/// The newest stamp of a list that a clock may have given, even one that is set wrong.
+fn newest_possible(listed: &[ListedStart]) -> Option<UnixTime> {
     let stamps = listed.iter().filter_map(|start| start.stamp);
-    stamps.filter(|stamp| *stamp <= latest).max()
+    stamps.filter(|stamp| stamp.micros() < LATEST_STAMP).max()
 }
--- a/crates/cache-router/tests/server_starts/main.rs
+++ b/crates/cache-router/tests/server_starts/main.rs
@@ -11,7 +11,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use cache_router::clock::{Moment, UnixTime};
+use cache_router::clock::{Clock, Moment, UnixTime};
 use cache_router::event_loop::endpoints::EndpointTable;
 use cache_router::message::EndpointListUpdate;
 use routing_policy::settings::Deployment;
@@ -292,3 +292,17 @@
         }
     }
 }
+
+#[test]
+fn on_a_machine_that_has_forgotten_the_date_servers_count_relative_to_the_newest() {
+    let mut node = Node::new(0);
+    let clock = Clock::start_at(UnixTime::from_micros(0));
+    node.wall_clock_error = -((clock.now() / SECOND) as i64);
+    let warm = node.stamp(BEGIN - 10 * HOUR);
+    let cold = node.stamp(BEGIN - SECOND);
+    let servers = [("warm", warm), ("cold", cold)];
+    let starts = node.starts(clock.now(), ListUpdate::Cached, &servers);
+    let now = clock.now();
+    assert!(now - starts[0] > 9 * HOUR, "{now}: {starts:?}");
+    assert!(now - starts[1] < HOUR, "{now}: {starts:?}");
+}
