--- a/crates/cache-router/src/event_loop/server_starts.rs
+++ b/crates/cache-router/src/event_loop/server_starts.rs
@@ -10,7 +10,7 @@
 //!    earlier list had the same server with another stamp, before that list. The start lies within, whatever clocks say.
 //!    While nothing changes, the empty lines of a watch confirm the list, so that the bounds are close.
 //! 2. **Unix time where it agrees.** Within the bounds the stamp, put on the router's clock by the wall clock, is the
-//!    start. With clocks that agree it is exact, and lists that come late make no server younger than it is.
+//!    start. With clocks that agree it is exact, also when discovery was down and its list comes late.
 //! 3. **The offset of discovery's clock.** Each start with bounds gives a range for the difference between the clocks;
 //!    the ranges of successive starts are intersected, and the latest one stands alone if they contradict each other (a
 //!    clock was stepped since). Where the wall clock lies outside the range it is not believed. The least offset of the
@@ -29,12 +29,12 @@
 //!    same processes under a clock that was stepped. All keep their ages.
 //!
 //! A stamp of 0 says only that the start was long ago: it is no restart of a server whose start is known. The first stamp of
-//! a server that had none is a restart. A list that comes late, behind one that was sent after the start, makes a server
-//! younger than it is by that delay at the most.
+//! a server that had none is a restart. A change that comes late, behind a list or an empty line that was sent after the
+//! start, makes a server younger than it is by that delay at the most.
 //!
 //! What is not covered: a wall clock that is ahead when the router starts, until the next start with bounds; one that is
-//! wrong by less than the time since the last list or empty line; servers stamped anew one list after another, or all of them having
-//! started within seconds of each other, which count as restarted and warm up once.
+//! wrong by less than the time since the last list or empty line; servers stamped anew one list after another, or that had
+//! all started within seconds of each other, which count as restarted and warm up once.
 
 use std::collections::HashMap;
 
