--- a/crates/cache-router/src/event_loop/dispatcher/endpoint_update.rs
+++ b/crates/cache-router/src/event_loop/dispatcher/endpoint_update.rs
@@ -3,6 +3,7 @@
 use routing_policy::{AttemptStatus, Endpoint, EndpointState, Event, ListUpdate, Micros, ServerId};
 
 use super::Dispatcher;
+use crate::clock::{Moment, UnixTime};
 use crate::event_loop::endpoints::EndpointChange;
 use crate::message::EndpointListUpdate;
 use crate::trace;
@@ -10,8 +11,9 @@
 impl Dispatcher {
     /// Puts an update of the endpoint list into force.
     pub fn apply_endpoint_update(&mut self, update: &EndpointListUpdate, kind: ListUpdate) {
-        let now = self.clock.now();
-        let applied = self.endpoints.apply(update, kind, now);
+        let moment = Moment::now(self.clock);
+        let now = moment.at;
+        let applied = self.endpoints.apply(update, kind, moment);
         for change in applied.changes {
             self.adapt_connections(change, now);
         }
@@ -28,6 +30,11 @@
         }
     }
 
+    /// The endpoint list in force has not changed up to now.
+    pub fn confirm_endpoint_list(&mut self) {
+        self.endpoints.confirm(self.clock.now());
+    }
+
     fn adapt_connections(&mut self, change: EndpointChange, now: Micros) {
         let server = change.target.server;
         let is_ready = change.state == EndpointState::Ready;
@@ -55,6 +62,7 @@
             format_args!("list {} {version}", trace::update_word(kind)),
         );
         for endpoint in endpoints {
+            let stamp = self.endpoints.start_stamp(endpoint.id);
             self.trace.line(
                 now,
                 format_args!(
@@ -63,7 +71,7 @@
                     trace::state_word(endpoint.state),
                     endpoint.kind,
                     endpoint.zone,
-                    endpoint.started
+                    stamp.map_or(0, UnixTime::micros)
                 ),
             );
         }
