--- a/crates/cluster-model/src/endpoint_list.rs
+++ b/crates/cluster-model/src/endpoint_list.rs
@@ -82,6 +82,15 @@
     Failed,
 }
 
+/// The response to a node's call or watch.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct NodeResponse {
+    /// The node.
+    pub node: NodeId,
+    /// What it is sent.
+    pub response: ListResponse,
+}
+
 /// The notification of a watch about a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Notification {
@@ -228,7 +237,7 @@
     }
 
     /// Handles the calls that are due. Returns the response to each.
-    pub fn process(&mut self, now: Micros) -> Vec<(NodeId, ListResponse)> {
+    pub fn process(&mut self, now: Micros) -> Vec<NodeResponse> {
         let mut responses = Vec::new();
         while let Some(&pending) = self.queue.front() {
             let handled_at = self.busy_until.max(pending.arrived) + self.config.call_time;
@@ -243,7 +252,8 @@
                 self.busy_until = handled_at;
                 self.respond(pending.node, pending.call)
             };
-            responses.push((pending.node, response));
+            let node = pending.node;
+            responses.push(NodeResponse { node, response });
             self.queue.pop_front();
         }
         responses
@@ -277,17 +287,20 @@
     }
 
     /// The service moves to another address: all watches and calls end. Returns their failures.
-    pub fn relocate(&mut self) -> Vec<(NodeId, ListResponse)> {
+    pub fn relocate(&mut self) -> Vec<NodeResponse> {
         let watching = std::mem::take(&mut self.watches).into_keys();
         let waiting = std::mem::take(&mut self.queue).into_iter();
         watching
             .chain(waiting.map(|pending| pending.node))
-            .map(|node| (node, ListResponse::Failed))
+            .map(|node| NodeResponse {
+                node,
+                response: ListResponse::Failed,
+            })
             .collect()
     }
 
     /// The service goes down, which fails all watches and calls, or comes back.
-    pub fn set_available(&mut self, now: Micros, available: bool) -> Vec<(NodeId, ListResponse)> {
+    pub fn set_available(&mut self, now: Micros, available: bool) -> Vec<NodeResponse> {
         self.available = available;
         self.busy_until = self.busy_until.max(now);
         if available {
--- a/crates/cluster-model/src/lib.rs
+++ b/crates/cluster-model/src/lib.rs
@@ -6,6 +6,7 @@
 //! owns, and `next_event_at` says when the part wants to run again. No clock, thread, socket or hash order takes part,
 //! so one seed gives one history. Drivers own the event queue and map it to virtual time or to sockets.
 
+mod accepted_jobs;
 pub mod endpoint_list;
 pub mod invariants;
 pub mod machine;
@@ -14,6 +15,8 @@
 pub mod origin;
 pub mod server;
 
+pub use accepted_jobs::CompletedJob;
+
 /// Time in microseconds since an instant that the driver chooses.
 pub type Micros = u64;
 
--- a/crates/cluster-model/src/origin.rs
+++ b/crates/cluster-model/src/origin.rs
@@ -1,10 +1,9 @@
 //! The origin: a machine that serves all fetches and writes. It rejects calls that exceed its queue, keeps working on
 //! calls whose callers have gone, can fail a fraction of its calls, and collapses when it stays saturated for too long.
 
-use std::collections::BTreeMap;
-
 use rand::Rng;
 
+use crate::accepted_jobs::{AcceptedJobs, CompletedJob};
 use crate::machine::{JobId, Machine, MachineConfig};
 use crate::{Micros, RandomStream};
 
@@ -76,7 +75,7 @@
     config: OriginConfig,
     machine: Machine,
     /// The response that each accepted call will get.
-    accepted: BTreeMap<JobId, Response>,
+    accepted: AcceptedJobs<Response>,
     fault: Option<FaultInjection>,
     saturation: Option<Saturation>,
     down_until: Option<Micros>,
@@ -90,7 +89,7 @@
         Origin {
             config,
             machine,
-            accepted: BTreeMap::new(),
+            accepted: AcceptedJobs::default(),
             fault: None,
             saturation: None,
             down_until: None,
@@ -169,11 +168,8 @@
     }
 
     /// The calls that are completed by now, with their responses.
-    pub fn take_completed(&mut self, now: Micros) -> Vec<(JobId, Response)> {
-        let completed = self.machine.take_completed(now).into_iter();
-        completed
-            .filter_map(|job| Some((job, self.accepted.remove(&job)?)))
-            .collect()
+    pub fn take_completed(&mut self, now: Micros) -> Vec<CompletedJob<Response>> {
+        self.accepted.take_completed(&mut self.machine, now)
     }
 
     /// When the next call will be completed if no other arrives before.
--- a/crates/cluster-model/src/server.rs
+++ b/crates/cluster-model/src/server.rs
@@ -1,9 +1,10 @@
 //! A cache server: a machine with a memory. It answers with hits and misses, rejects attempts that exceed its queue, and
 //! collapses when it is sent more than it can do for too long while it warms up.
 
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::VecDeque;
 
 use crate::Micros;
+use crate::accepted_jobs::{AcceptedJobs, CompletedJob};
 use crate::machine::{JobId, Machine, MachineConfig};
 use crate::memory::Memory;
 
@@ -143,7 +144,7 @@
     running: bool,
     draining: bool,
     /// The response that each accepted attempt will get.
-    accepted: BTreeMap<JobId, Response>,
+    accepted: AcceptedJobs<Response>,
     offered: OfferedLoad,
     collapse: Option<Collapse>,
 }
@@ -167,7 +168,7 @@
             started,
             running: true,
             draining: false,
-            accepted: BTreeMap::new(),
+            accepted: AcceptedJobs::default(),
             offered: OfferedLoad::default(),
             collapse: None,
             config,
@@ -281,17 +282,14 @@
     pub fn cancel(&mut self, now: Micros, job: JobId) -> bool {
         let dropped = self.machine.cancel(now, job);
         if dropped {
-            self.accepted.remove(&job);
+            self.accepted.remove(job);
         }
         dropped
     }
 
     /// The attempts that are completed by now, with their responses.
-    pub fn take_completed(&mut self, now: Micros) -> Vec<(JobId, Response)> {
-        let completed = self.machine.take_completed(now).into_iter();
-        completed
-            .filter_map(|job| Some((job, self.accepted.remove(&job)?)))
-            .collect()
+    pub fn take_completed(&mut self, now: Micros) -> Vec<CompletedJob<Response>> {
+        self.accepted.take_completed(&mut self.machine, now)
     }
 
     /// When the next attempt will be completed if no other arrives before.
--- a/crates/cluster-model/tests/endpoint_list.rs
+++ b/crates/cluster-model/tests/endpoint_list.rs
@@ -9,6 +9,7 @@
 use cluster_model::Micros;
 use cluster_model::endpoint_list::{
     Condition, EndpointList, EndpointListConfig, EndpointRecord, ListCall, ListResponse,
+    NodeResponse,
 };
 
 const MILLISECOND: Micros = 1_000;
@@ -65,7 +66,7 @@
 fn ask(list: &mut EndpointList, now: Micros, call: ListCall) -> Summary {
     assert_eq!(list.call(now, 9, call), None);
     let responses = list.process(now + 10 * MILLISECOND);
-    summary(&responses[0].1)
+    summary(&responses[0].response)
 }
 
 #[test]
@@ -124,7 +125,7 @@
     let mut failed = 0;
     let mut last = 0;
     while let Some(at) = list.next_event_at() {
-        for (_, response) in list.process(at) {
+        for NodeResponse { response, .. } in list.process(at) {
             if response == ListResponse::Failed {
                 failed += 1;
             } else {
@@ -144,7 +145,10 @@
     list.call(20 * MILLISECOND, 2, ListCall::Complete);
     assert_eq!(
         list.set_available(25 * MILLISECOND, false),
-        [(1, ListResponse::Failed), (2, ListResponse::Failed)]
+        [1, 2].map(|node| NodeResponse {
+            node,
+            response: ListResponse::Failed
+        })
     );
     assert_eq!(
         list.call(30 * MILLISECOND, 1, ListCall::Complete),
@@ -154,6 +158,6 @@
     assert!(list.set_available(SECOND, true).is_empty());
     list.call(SECOND, 1, ListCall::Watch { after: 1 });
     let responses = list.process(SECOND + 10 * MILLISECOND);
-    let (node, response) = &responses[0];
-    assert_eq!((*node, summary(response)), (1, changes(2, 1)));
+    assert_eq!(responses[0].node, 1);
+    assert_eq!(summary(&responses[0].response), changes(2, 1));
 }
--- a/crates/cluster-model/tests/origin.rs
+++ b/crates/cluster-model/tests/origin.rs
@@ -6,15 +6,19 @@
     reason = "test code"
 )]
 
-use cluster_model::machine::MachineConfig;
+use cluster_model::machine::{JobId, MachineConfig};
 use cluster_model::origin::{Admission, Fault, FaultInjection, Origin, OriginConfig, Response};
-use cluster_model::{Micros, random_stream};
+use cluster_model::{CompletedJob, Micros, random_stream};
 
 const MILLISECOND: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 
 const UNPROCESSED: Admission = Admission::Answered(Response::Unprocessed);
 
+fn completed(job: JobId, response: Response) -> CompletedJob<Response> {
+    CompletedJob { job, response }
+}
+
 #[test]
 fn calls_fail_late_or_early_and_the_origin_completes_those_whose_callers_have_gone() {
     let machine = MachineConfig {
@@ -42,11 +46,11 @@
     assert_eq!(origin.next_event_at(), Some(10 * MILLISECOND));
     assert_eq!(
         origin.take_completed(10 * MILLISECOND),
-        [(1, Response::Failed), (3, Response::Done)]
+        [completed(1, Response::Failed), completed(3, Response::Done)]
     );
     assert_eq!(
         origin.take_completed(20 * MILLISECOND),
-        [(4, Response::Done)]
+        [completed(4, Response::Done)]
     );
 }
 
--- a/crates/cluster-model/tests/server.rs
+++ b/crates/cluster-model/tests/server.rs
@@ -6,9 +6,9 @@
     reason = "test code"
 )]
 
-use cluster_model::Micros;
 use cluster_model::machine::MachineConfig;
 use cluster_model::server::{Admission, CacheServer, CacheServerConfig, Lookup, Response};
+use cluster_model::{CompletedJob, Micros};
 
 const SECOND: Micros = 1_000_000;
 
@@ -41,10 +41,11 @@
     let mut responses = Vec::new();
     while let Some(at) = server.next_event_at() {
         let completed = server.take_completed(at).into_iter();
-        responses.extend(completed.map(|(job, response)| (job, response, at)));
+        responses.extend(completed.map(|completed| (completed, at)));
     }
-    assert_eq!(responses[0], (1, Response::Hit, 10_000));
-    let (_, response, at) = responses[1];
+    let completed = |job, response| CompletedJob { job, response };
+    assert_eq!(responses[0], (completed(1, Response::Hit), 10_000));
+    let (CompletedJob { response, .. }, at) = responses[1];
     assert_eq!(response, Response::Miss, "{responses:?}");
     assert!(at.abs_diff(13_000) <= 2, "{responses:?}");
     server.drain();
--- a/crates/testbed/src/sockets/cluster/attempts.rs
+++ b/crates/testbed/src/sockets/cluster/attempts.rs
@@ -1,11 +1,11 @@
 //! Attempts: what nodes send to cache servers and to the origin for a request, and the replies that they get.
 
-use cluster_model::Micros;
 use cluster_model::endpoint_list::NodeId;
 use cluster_model::machine::JobId;
 use cluster_model::network::Delivery;
 use cluster_model::origin::{Admission as OriginAdmission, Response as OriginResponse};
 use cluster_model::server::{Admission, Lookup, Response};
+use cluster_model::{CompletedJob, Micros};
 use tokio::sync::oneshot;
 
 use super::{ClusterState, CountedEvent, CountedKind, RequestId, ServerNumber};
@@ -153,8 +153,8 @@
         if server.cache.next_event_at().is_none_or(|due| due > now) {
             return;
         }
-        for (job, answer) in server.cache.take_completed(now) {
-            let reply = match answer {
+        for CompletedJob { job, response } in server.cache.take_completed(now) {
+            let reply = match response {
                 Response::Hit => AttemptReply::Value,
                 _ => AttemptReply::Miss,
             };
@@ -166,8 +166,8 @@
         if self.origin.next_event_at().is_none_or(|due| due > now) {
             return;
         }
-        for (job, answer) in self.origin.take_completed(now) {
-            self.complete(now, job, answer.into());
+        for CompletedJob { job, response } in self.origin.take_completed(now) {
+            self.complete(now, job, response.into());
         }
     }
 
--- a/crates/testbed/src/sockets/cluster/discovery.rs
+++ b/crates/testbed/src/sockets/cluster/discovery.rs
@@ -6,6 +6,7 @@
 use cluster_model::Micros;
 use cluster_model::endpoint_list::{
     Condition, EndpointList, EndpointListConfig, EndpointRecord, ListCall, ListResponse, NodeId,
+    NodeResponse,
 };
 use cluster_model::invariants::{InvariantLimits, Invariants};
 use tokio::sync::mpsc;
@@ -122,9 +123,9 @@
         }
     }
 
-    fn notify_all(&mut self, messages: Vec<(NodeId, ListResponse)>) {
-        for (node, message) in messages {
-            self.notify(node, message);
+    fn notify_all(&mut self, messages: Vec<NodeResponse>) {
+        for NodeResponse { node, response } in messages {
+            self.notify(node, response);
         }
     }
 
--- a/crates/testbed/src/virtual_time/discovery.rs
+++ b/crates/testbed/src/virtual_time/discovery.rs
@@ -2,7 +2,7 @@
 
 use cluster_model::Micros;
 use cluster_model::endpoint_list::{
-    Condition, EndpointRecord, ListCall, ListResponse, NodeId, Notification,
+    Condition, EndpointRecord, ListCall, ListResponse, NodeId, NodeResponse, Notification,
 };
 use routing_policy::{Endpoint, EndpointState, Event as PolicyEvent, ListUpdate, ServerId};
 
@@ -31,7 +31,7 @@
     pub(super) fn handle_discovery_event(&mut self, event: DiscoveryEvent) {
         match event {
             DiscoveryEvent::ListDue => {
-                for (node, response) in self.list.process(self.now) {
+                for NodeResponse { node, response } in self.list.process(self.now) {
                     self.schedule_list_response(self.now, node, response);
                 }
                 self.schedule_list();
--- a/crates/testbed/src/virtual_time/faults.rs
+++ b/crates/testbed/src/virtual_time/faults.rs
@@ -1,6 +1,6 @@
 //! Fault injection: the faults of the scenario begin, and those that last end.
 
-use cluster_model::endpoint_list::NodeId;
+use cluster_model::endpoint_list::{NodeId, NodeResponse};
 use cluster_model::network::{AnswerFaults, Zone};
 use cluster_model::{Micros, RandomStream};
 use rand::seq::SliceRandom;
@@ -205,13 +205,13 @@
         for node in self.nodes.iter_mut() {
             node.list_version = 0;
         }
-        for (node, response) in self.list.relocate() {
+        for NodeResponse { node, response } in self.list.relocate() {
             self.schedule_list_response(self.now, node, response);
         }
     }
 
     fn stop_list(&mut self, lasts: Micros) {
-        for (node, response) in self.list.set_available(self.now, false) {
+        for NodeResponse { node, response } in self.list.set_available(self.now, false) {
             self.schedule_list_response(self.now, node, response);
         }
         let restored = DiscoveryEvent::ListRestored;
--- a/crates/testbed/src/virtual_time/servers.rs
+++ b/crates/testbed/src/virtual_time/servers.rs
@@ -2,6 +2,7 @@
 
 use std::collections::BTreeMap;
 
+use cluster_model::CompletedJob;
 use cluster_model::endpoint_list::Condition;
 use cluster_model::machine::JobId;
 use cluster_model::network::Zone;
@@ -120,7 +121,7 @@
         if server.generation != generation {
             return;
         }
-        for (job, response) in server.cache.take_completed(self.now) {
+        for CompletedJob { job, response } in server.cache.take_completed(self.now) {
             let status = if response == Response::Hit {
                 AttemptStatus::Served
             } else {
@@ -144,7 +145,7 @@
         if generation != self.origin_generation {
             return;
         }
-        for (job, response) in self.origin.take_completed(self.now) {
+        for CompletedJob { job, response } in self.origin.take_completed(self.now) {
             if response == OriginResponse::Done {
                 self.update_caches(job);
             }
