--- a/crates/cluster-model/src/invariants/limits.rs
+++ b/crates/cluster-model/src/invariants/limits.rs
@@ -13,7 +13,7 @@
     pub drain_grace: Micros,
     /// A node counts as notified this long after a change was known, whether it was notified or not.
     pub notified_after: Micros,
-    /// A collapse is a violation if at least this fraction of the load came from senders who knew of the start.
+    /// A collapse is a violation if more than this fraction of the load came from senders who knew of the start.
     pub informed_share: f64,
 }
 
--- a/crates/cluster-model/src/invariants/violation.rs
+++ b/crates/cluster-model/src/invariants/violation.rs
@@ -5,7 +5,7 @@
 use super::RequestKey;
 use crate::Micros;
 use crate::endpoint_list::NodeId;
-use crate::server::Collapse;
+use crate::slow_start_budget::Collapse;
 
 /// A violation of an invariant.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/cluster-model/src/lib.rs
+++ b/crates/cluster-model/src/lib.rs
@@ -14,6 +14,7 @@
 pub mod network;
 pub mod origin;
 pub mod server;
+pub mod slow_start_budget;
 
 pub use accepted_jobs::CompletedJob;
 
--- a/crates/testbed/src/deployment.rs
+++ b/crates/testbed/src/deployment.rs
@@ -9,6 +9,7 @@
 use cluster_model::network::{Network, NetworkConfig, Zone};
 use cluster_model::origin::{Fault, FaultInjection, Origin, OriginConfig};
 use cluster_model::server::CacheServerConfig;
+use cluster_model::slow_start_budget::SlowStartBudget;
 use routing_policy::{
     Action, AttemptOutcome, AttemptStatus, CacheLookup, Endpoint, Event as PolicyEvent, ListUpdate,
     LoadReport, Policy, Request, RequestId, ServerId, Settings,
@@ -94,9 +95,6 @@
 
 /// The configuration of a cache server of a kind.
 pub fn cache_server(scenario: &Scenario, kind: &ServerKind) -> CacheServerConfig {
-    let reads = scenario.classes.iter().filter(|class| !class.write);
-    let read_work = reads.map(|class| micros(class.work) as f64);
-    let largest_read_work = read_work.fold(0.0, f64::max);
     CacheServerConfig {
         machine: MachineConfig {
             cores: kind.cores,
@@ -109,13 +107,25 @@
             ..MachineConfig::default()
         },
         memory_bytes: kind.memory_bytes,
-        collapse_multiple: scenario.invariants.collapse_multiple,
-        collapse_window: micros(scenario.invariants.collapse_window),
-        collapse_slack: scenario.invariants.collapse_slack * largest_read_work,
+        slow_start: SlowStartBudget {
+            multiple: scenario.invariants.collapse_multiple,
+            window: micros(scenario.invariants.collapse_window),
+            mean_work: mean_read_work(scenario),
+        },
         ..CacheServerConfig::default()
     }
 }
 
+/// Mean work of the requests that cache servers get, which are reads, in microseconds of the reference core.
+fn mean_read_work(scenario: &Scenario) -> f64 {
+    let reads = || scenario.classes.iter().filter(|class| !class.write);
+    let share: f64 = reads().map(|class| class.share).sum();
+    let work: f64 = reads()
+        .map(|class| class.share * micros(class.work) as f64)
+        .sum();
+    if share > 0.0 { work / share } else { 0.0 }
+}
+
 /// The origin, warm and idle.
 pub fn origin(scenario: &Scenario, now: Micros) -> Origin {
     let origin = &scenario.origin;
