--- a/crates/cluster-model/src/invariants/drain.rs
+++ b/crates/cluster-model/src/invariants/drain.rs
@@ -2,6 +2,7 @@
 
 use std::collections::BTreeMap;
 
+use super::notification::KnownChanges;
 use super::{Invariants, ViolationKind};
 use crate::Micros;
 use crate::endpoint_list::NodeId;
@@ -18,8 +19,8 @@
 pub(super) struct DrainNotices {
     /// Servers that nodes were notified are not ready, and since when.
     notified: BTreeMap<Notice, Micros>,
-    /// Servers that are known not to be ready, and since when.
-    not_ready: BTreeMap<u32, Micros>,
+    /// Servers of which discovery knows that they are not ready.
+    pub(super) not_ready: KnownChanges,
 }
 
 impl DrainNotices {
@@ -28,7 +29,7 @@
         let notified = self.notified.get(&Notice { node, server }).copied();
         let should_know = self
             .not_ready
-            .get(&server)
+            .reachable_since(server)
             .map(|since| since + notified_after);
         notified.into_iter().chain(should_know).min()
     }
@@ -40,13 +41,13 @@
 }
 
 impl Invariants {
-    /// It becomes known whether a server is ready.
+    /// Discovery learns whether a server is ready. One that is ready has started.
     pub fn readiness_known(&mut self, now: Micros, server: u32, ready: bool) {
-        let not_ready = &mut self.drain_notices.not_ready;
         if ready {
-            not_ready.remove(&server);
+            self.drain_notices.not_ready.remove(server);
+            self.known_starts.insert(now, server);
         } else {
-            not_ready.entry(server).or_insert(now);
+            self.drain_notices.not_ready.insert_first(now, server);
         }
     }
 
--- a/crates/cluster-model/src/invariants/final_answer.rs
+++ b/crates/cluster-model/src/invariants/final_answer.rs
@@ -1,7 +1,9 @@
-//! Every accepted request gets its final answer in time.
+//! Every accepted request gets its final answer, at most a grace after its deadline. Only its own client frees it, by
+//! closing the connection: neither the deadline nor trouble at servers or with other clients does.
 
+use super::late_send::RequestEnd;
 use super::request::{AcceptedRequest, RequestKey};
-use super::{Invariants, ViolationKind};
+use super::{Invariants, Violation, ViolationKind};
 use crate::Micros;
 
 impl Invariants {
@@ -11,10 +13,10 @@
         let Some(accepted) = self.open_request(request) else {
             return;
         };
-        accepted.ended = Some(now);
-        let deadline = accepted.deadline;
+        accepted.end = Some(RequestEnd::Answered { at: now });
+        let answer_due = accepted.answer_due;
         let untrue = rejected && accepted.effect.rejection_is_untrue();
-        if now > deadline + self.limits.answer_grace {
+        if now > answer_due + self.limits.answer_grace {
             self.violated(now, ViolationKind::Lost(request));
         }
         if untrue {
@@ -22,11 +24,12 @@
         }
     }
 
-    /// A node that was not killed closed a request's connection before the complete answer.
+    /// A request's connection was closed before the complete answer, by the node or by the end of its process after it
+    /// was told to shut down.
     pub fn aborted(&mut self, now: Micros, request: impl Into<RequestKey>) {
         let request = request.into();
         if let Some(accepted) = self.open_request(request) {
-            accepted.ended = Some(now);
+            accepted.end = Some(RequestEnd::Answered { at: now });
             self.violated(now, ViolationKind::Lost(request));
         }
     }
@@ -34,23 +37,23 @@
     /// A request that has not ended.
     fn open_request(&mut self, request: RequestKey) -> Option<&mut AcceptedRequest> {
         let accepted = self.requests.get_mut(&request)?;
-        accepted.ended.is_none().then_some(accepted)
+        accepted.end.is_none().then_some(accepted)
     }
 
     /// The run ends: requests that should have been answered by now and were not are lost.
     pub fn finish(&mut self, now: Micros) {
         let grace = self.limits.answer_grace;
         let overdue = |accepted: &AcceptedRequest| {
-            accepted.ended.is_none() && now > accepted.deadline + grace
+            accepted.end.is_none() && now > accepted.answer_due + grace
         };
-        let lost: Vec<RequestKey> = self
-            .requests
-            .iter()
+        let lost = self.requests.iter();
+        let lost: Vec<Violation> = lost
             .filter(|(_, accepted)| overdue(accepted))
-            .map(|(request, _)| *request)
+            .map(|(request, accepted)| Violation {
+                at: accepted.answer_due + grace,
+                kind: ViolationKind::Lost(*request),
+            })
             .collect();
-        for request in lost {
-            self.violated(now, ViolationKind::Lost(request));
-        }
+        self.violations.extend(lost);
     }
 }
--- a/crates/cluster-model/src/invariants/late_send.rs
+++ b/crates/cluster-model/src/invariants/late_send.rs
@@ -1,40 +1,62 @@
-//! Nothing is sent for a request that has ended.
+//! Nothing is sent for a request that was answered, nor for one whose client closed its connection or cancelled more than
+//! a moment ago: no first attempt, retry, hedged request or deferred call to the origin.
 
-use super::Invariants;
 use super::request::{AcceptedRequest, RequestKey};
+use super::{InvariantLimits, Invariants, ViolationKind};
 use crate::Micros;
-use crate::endpoint_list::NodeId;
+
+/// How and when a request ended.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum RequestEnd {
+    /// Its node ended it, mostly by the final answer.
+    Answered { at: Micros },
+    /// Its client closed the connection or cancelled.
+    ClientGone { at: Micros },
+}
+
+impl RequestEnd {
+    /// The same end at another time.
+    pub(super) fn postponed_to(self, at: Micros) -> Self {
+        match self {
+            RequestEnd::Answered { .. } => RequestEnd::Answered { at },
+            RequestEnd::ClientGone { .. } => RequestEnd::ClientGone { at },
+        }
+    }
+
+    pub(super) fn at(self) -> Micros {
+        match self {
+            RequestEnd::Answered { at } | RequestEnd::ClientGone { at } => at,
+        }
+    }
+
+    /// Whether an attempt that begins now is too late.
+    fn forbids_sending(self, now: Micros, limits: &InvariantLimits) -> bool {
+        match self {
+            RequestEnd::Answered { at } => now >= at + limits.sent_grace,
+            RequestEnd::ClientGone { at } => now > at + limits.client_gone_grace,
+        }
+    }
+}
 
 impl AcceptedRequest {
-    /// Whether an attempt that is sent now is sent after the end.
-    pub(super) fn is_over(&self, now: Micros, sent_grace: Micros) -> bool {
-        self.ended.is_some_and(|ended| now >= ended + sent_grace)
+    /// Whether an attempt that begins now is too late.
+    pub(super) fn forbids_sending(&self, now: Micros, limits: &InvariantLimits) -> bool {
+        self.end.is_some_and(|end| end.forbids_sending(now, limits))
     }
 }
 
 impl Invariants {
-    /// The client of a request has gone: its node owes it no answer.
+    /// The client of a request has closed its connection or cancelled: its node owes it no answer.
     pub fn client_gone(&mut self, now: Micros, request: impl Into<RequestKey>) {
         if let Some(accepted) = self.requests.get_mut(&request.into()) {
-            accepted.ended.get_or_insert(now);
+            accepted
+                .end
+                .get_or_insert(RequestEnd::ClientGone { at: now });
         }
     }
 
-    /// A node's process is paused: it learns nothing until it resumes.
-    pub fn paused(&mut self, now: Micros, node: NodeId) {
-        self.paused.insert(node, now);
-    }
-
-    /// A paused node resumes: only now can it learn which clients left meanwhile.
-    pub fn resumed(&mut self, now: Micros, node: NodeId) {
-        let Some(since) = self.paused.remove(&node) else {
-            return;
-        };
-        for (request, accepted) in &mut self.requests {
-            let ended_meanwhile = accepted.ended.is_some_and(|ended| ended >= since);
-            if request.node == node && ended_meanwhile {
-                accepted.ended = Some(now);
-            }
-        }
+    /// A node sends an attempt of a request that it had ended and forgotten.
+    pub fn sent_after_forgetting(&mut self, now: Micros, request: impl Into<RequestKey>) {
+        self.violated(now, ViolationKind::SentAfterEnd(request.into()));
     }
 }
--- a/crates/cluster-model/src/invariants/mod.rs
+++ b/crates/cluster-model/src/invariants/mod.rs
@@ -4,18 +4,25 @@
 //! | module | invariant |
 //! | --- | --- |
 //! | `final_answer` | every accepted request gets its final answer in time |
-//! | `late_send` | nothing is sent for a request that has ended |
+//! | `late_send` | nothing is sent for a request that was answered or whose client has gone |
+//! | `told_deadline` | an attempt tells its server no more time than is left |
 //! | `duplicate_effect` | no effect happens twice |
 //! | `drain` | nothing is sent to a server long after the notice that it drains |
 //! | `slow_start` | no server that warms up collapses under load from senders who knew of its start |
+//!
+//! `notification` says when a change counts as known to every node, `pause` what becomes of a node's time while its process
+//! does not run.
 
 mod drain;
 mod duplicate_effect;
 mod final_answer;
 mod late_send;
 mod limits;
+mod notification;
+mod pause;
 mod request;
 mod slow_start;
+mod told_deadline;
 mod violation;
 
 use std::collections::BTreeMap;
@@ -25,6 +32,7 @@
 use drain::DrainNotices;
 pub use duplicate_effect::Idempotency;
 pub use limits::InvariantLimits;
+use notification::KnownChanges;
 use request::AcceptedRequest;
 pub use request::RequestKey;
 pub use violation::{Violation, ViolationKind};
@@ -35,6 +43,8 @@
     limits: InvariantLimits,
     requests: BTreeMap<RequestKey, AcceptedRequest>,
     drain_notices: DrainNotices,
+    /// Servers whose latest start discovery knows of.
+    known_starts: KnownChanges,
     /// Nodes that are paused, and since when.
     paused: BTreeMap<NodeId, Micros>,
     violations: Vec<Violation>,
@@ -77,7 +87,7 @@
             return;
         };
         let ran_twice = accepted.effect.sent(now, attempt);
-        let after_end = accepted.is_over(now, self.limits.sent_grace);
+        let after_end = accepted.forbids_sending(now, &self.limits);
         if ran_twice {
             self.violated(now, ViolationKind::RanTwice(request));
         }
@@ -97,11 +107,19 @@
     pub fn forget(&mut self, request: impl Into<RequestKey>) {
         let request = request.into();
         let accepted = self.requests.get(&request);
-        if accepted.is_some_and(|accepted| accepted.ended.is_some()) {
+        if accepted.is_some_and(|accepted| accepted.end.is_some()) {
             self.requests.remove(&request);
         }
     }
 
+    /// Discovery goes down, or can be reached again.
+    pub fn discovery_reachable(&mut self, now: Micros, reachable: bool) {
+        self.drain_notices
+            .not_ready
+            .set_discovery_reachable(now, reachable);
+        self.known_starts.set_discovery_reachable(now, reachable);
+    }
+
     /// A node is killed: its clients must retry, and what it was notified of is forgotten.
     pub fn killed(&mut self, node: NodeId) {
         self.paused.remove(&node);
--- a/crates/cluster-model/src/invariants/request.rs
+++ b/crates/cluster-model/src/invariants/request.rs
@@ -1,6 +1,7 @@
 //! Requests that nodes have accepted, as the invariants know them.
 
 use super::duplicate_effect::{EffectRecord, Idempotency};
+use super::late_send::RequestEnd;
 use crate::Micros;
 use crate::endpoint_list::NodeId;
 
@@ -24,8 +25,10 @@
 pub(super) struct AcceptedRequest {
     /// The client waits until then.
     pub(super) deadline: Micros,
-    /// When it had its final answer, or its client went away.
-    pub(super) ended: Option<Micros>,
+    /// The final answer is due by then, without the grace: the deadline, or the end of a pause of the node over it.
+    pub(super) answer_due: Micros,
+    /// Its end, if it has ended.
+    pub(super) end: Option<RequestEnd>,
     /// Which of its attempts may have run.
     pub(super) effect: EffectRecord,
 }
@@ -34,7 +37,8 @@
     pub(super) fn new(deadline: Micros, idempotency: Idempotency) -> Self {
         AcceptedRequest {
             deadline,
-            ended: None,
+            answer_due: deadline,
+            end: None,
             effect: EffectRecord::new(idempotency),
         }
     }
--- a/crates/cluster-model/src/invariants/violation.rs
+++ b/crates/cluster-model/src/invariants/violation.rs
@@ -21,8 +21,15 @@
 pub enum ViolationKind {
     /// A request had no final answer in time, or none at all.
     Lost(RequestKey),
-    /// A request was sent after its node had ended it.
+    /// A request was sent after its node had ended it, or after its client had gone.
     SentAfterEnd(RequestKey),
+    /// An attempt told its server more time than was left.
+    ToldTooLong {
+        /// The request.
+        request: RequestKey,
+        /// How much more, in microseconds.
+        excess: Micros,
+    },
     /// A request that must not run twice was sent while an attempt may have run.
     RanTwice(RequestKey),
     /// A request was rejected, which says that it did not run, while an attempt may have.
@@ -66,6 +73,14 @@
             ViolationKind::SentAfterEnd(RequestKey { node, id }) => {
                 write!(f, "lost: node {node} sent request {id} after its end")
             }
+            ViolationKind::ToldTooLong {
+                request: RequestKey { node, id },
+                excess,
+            } => write!(
+                f,
+                "deadline: node {node} told a server {:.3} s more than was left of request {id}",
+                seconds(*excess)
+            ),
             ViolationKind::RanTwice(RequestKey { node, id }) => write!(
                 f,
                 "dup: node {node} sent request {id} though it may have run"
--- a/crates/cluster-model/tests/invariants.rs
+++ b/crates/cluster-model/tests/invariants.rs
@@ -63,13 +63,8 @@
 
 #[test]
 fn a_paused_node_learns_which_clients_left_when_it_resumes_and_not_before() {
-    let limits = InvariantLimits {
-        answer_grace: 20_000,
-        sent_grace: 50_000,
-        ..InvariantLimits::default()
-    };
-    for (sent, kept) in [(2 * SECOND + 49_999, true), (2 * SECOND + 50_000, false)] {
-        let mut all = Invariants::new(limits.clone());
+    for (sent, kept) in [(2 * SECOND + 100_000, true), (2 * SECOND + 100_001, false)] {
+        let mut all = invariants();
         all.accepted(REQUEST, SECOND, Idempotency::Idempotent);
         all.paused(SECOND / 2, 3);
         all.client_gone(SECOND, REQUEST);
@@ -77,7 +72,7 @@
         all.sent(sent, REQUEST, 0, 7);
         assert_eq!(violations(&all).is_empty(), kept, "sent at {sent}");
     }
-    let mut all = Invariants::new(limits);
+    let mut all = invariants();
     all.accepted(REQUEST, SECOND, Idempotency::Idempotent);
     all.client_gone(SECOND, REQUEST);
     all.paused(3 * SECOND / 2, 3);
@@ -90,6 +85,69 @@
     );
 }
 
+#[test]
+fn a_paused_node_owes_its_answers_within_the_grace_after_it_resumes() {
+    let answered_at = |resumed_at: u64, answered_at: u64| {
+        let mut all = Invariants::default();
+        all.accepted(REQUEST, SECOND, Idempotency::Idempotent);
+        all.paused(SECOND / 2, 3);
+        all.resumed(resumed_at, 3);
+        all.answered(answered_at, REQUEST, true);
+        violations(&all)
+    };
+    assert_eq!(answered_at(3 * SECOND, 3_500_000), []);
+    let lost = [ViolationKind::Lost(REQUEST)];
+    assert_eq!(answered_at(3 * SECOND, 3_500_001), lost, "nor is it freed");
+    assert_eq!(answered_at(600_000, 1_500_001), lost, "over in time");
+    let mut all = Invariants::default();
+    all.accepted(REQUEST, SECOND, Idempotency::Idempotent);
+    all.paused(2 * SECOND, 3);
+    all.resumed(3 * SECOND, 3);
+    all.answered(3 * SECOND, REQUEST, true);
+    assert_eq!(violations(&all), lost, "it was overdue before the pause");
+}
+
+#[test]
+fn an_answer_half_a_second_after_its_time_only_earns_nothing_and_a_later_one_is_lost() {
+    for (answered_at, kept) in [(1_500_000, true), (1_500_001, false)] {
+        let mut all = Invariants::default();
+        all.accepted(REQUEST, SECOND, Idempotency::Idempotent);
+        all.answered(answered_at, REQUEST, false);
+        assert_eq!(violations(&all).is_empty(), kept, "at {answered_at}");
+    }
+}
+
+#[test]
+fn an_attempt_over_a_tenth_of_a_second_after_the_client_closed_is_reported() {
+    for (sent_at, kept) in [(400_000, true), (400_001, false)] {
+        let mut all = Invariants::default();
+        all.accepted(REQUEST, SECOND, Idempotency::Idempotent);
+        all.client_gone(300_000, REQUEST);
+        all.answered(310_000, REQUEST, false);
+        all.sent(sent_at, REQUEST, 0, 1);
+        assert_eq!(violations(&all).is_empty(), kept, "at {sent_at}");
+    }
+    let mut all = Invariants::default();
+    all.sent_after_forgetting(SECOND, REQUEST);
+    assert_eq!(violations(&all), [ViolationKind::SentAfterEnd(REQUEST)]);
+}
+
+#[test]
+fn an_attempt_tells_its_server_at_most_what_is_left_and_some_slack() {
+    let mut all = Invariants::default();
+    all.accepted(REQUEST, SECOND, Idempotency::Idempotent);
+    all.told_deadline(0, REQUEST, SECOND);
+    all.told_deadline(400_000, REQUEST, 750_000);
+    assert_eq!(violations(&all), []);
+    all.told_deadline(400_000, REQUEST, 750_001);
+    let request = REQUEST;
+    let excess = 150_001;
+    assert_eq!(
+        violations(&all),
+        [ViolationKind::ToldTooLong { request, excess }]
+    );
+}
+
 #[test]
 fn a_request_that_its_node_aborts_is_lost_at_once_and_only_once() {
     let mut all = invariants();
@@ -191,6 +249,29 @@
     assert_eq!(all.violations().len(), 2, "it is back");
 }
 
+#[test]
+fn a_change_counts_as_notified_six_seconds_after_discovery_knew_of_it_and_could_be_reached() {
+    let sent_at = |now| {
+        let mut all = Invariants::default();
+        all.readiness_known(SECOND, 7, false);
+        all.discovery_reachable(2 * SECOND, false);
+        all.readiness_known(3 * SECOND, 8, false);
+        all.readiness_known(3 * SECOND, 9, true);
+        all.discovery_reachable(10 * SECOND, true);
+        all.sent(now, REQUEST, 0, 7);
+        let drained = all.violations().len();
+        all.sent(now, REQUEST, 0, 8);
+        let drained_in_outage = all.violations().len() - drained;
+        let start = all.start_counts_as_notified(now, 9);
+        (drained, drained_in_outage, start)
+    };
+    assert_eq!(sent_at(7 * SECOND + 550_000), (0, 0, false));
+    assert_eq!(sent_at(7 * SECOND + 550_001), (1, 0, false));
+    assert_eq!(sent_at(16 * SECOND - 1), (1, 0, false));
+    assert_eq!(sent_at(16 * SECOND), (1, 0, true));
+    assert_eq!(sent_at(16 * SECOND + 550_001), (1, 1, true));
+}
+
 #[test]
 fn a_collapse_is_a_violation_if_over_two_thirds_of_the_load_came_from_senders_who_knew() {
     let collapse = |informed_share| Collapse {
--- a/crates/testbed/src/deployment.rs
+++ b/crates/testbed/src/deployment.rs
@@ -27,6 +27,11 @@
 const ORIGIN_RELIEF: Micros = 500_000;
 /// Standard deviation of the origin's work over its mean.
 pub const ORIGIN_WORK_DEVIATION: f64 = 0.3;
+/// The platform waits the longest deadline before it kills a node that was told to end, of which it counts this much at
+/// most, in microseconds,
+const KILL_LONGEST_DEADLINE: Micros = 3_000_000;
+/// and this much more.
+const KILL_SLACK: Micros = 700_000;
 /// Largest number of keys that are cached at the beginning, the most popular first.
 const MAX_INITIAL_KEYS: u64 = 200_000;
 /// Deadline of the requests that find the initial place of a key, in microseconds.
@@ -181,6 +186,13 @@
     })
 }
 
+/// How soon after SIGTERM the platform may kill a node, in microseconds.
+pub fn earliest_kill_after_terminate(scenario: &Scenario) -> Micros {
+    let deadlines = scenario.classes.iter().map(|class| micros(class.deadline));
+    let longest = deadlines.max().unwrap_or(0);
+    longest.min(KILL_LONGEST_DEADLINE) + KILL_SLACK
+}
+
 /// Whether requests of a class, by its index, may run more than once.
 pub fn idempotency(scenario: &Scenario, class: usize) -> ModelIdempotency {
     match scenario.classes[class].idempotency {
--- a/crates/testbed/src/virtual_time/attempts.rs
+++ b/crates/testbed/src/virtual_time/attempts.rs
@@ -4,7 +4,6 @@
 
 use cluster_model::Micros;
 use cluster_model::endpoint_list::NodeId;
-use cluster_model::invariants::InvariantLimits;
 use cluster_model::machine::JobId;
 use cluster_model::network::{Delivery, Zone};
 use cluster_model::origin::Admission as OriginAdmission;
@@ -12,7 +11,7 @@
 use routing_policy::{AttemptStatus, Event as PolicyEvent, RequestId, ServerId};
 
 use super::servers::{ORIGIN, origin_status};
-use super::{Event, Simulation};
+use super::{Defect, Event, Simulation};
 use crate::clients::{Reply, log_normal_factor};
 use crate::deployment::{self, MAX_ATTEMPTS, ORIGIN_WORK_DEVIATION};
 use crate::micros;
@@ -116,12 +115,14 @@
     /// A node's policy sends an attempt.
     pub(super) fn send_attempt(&mut self, node: NodeId, request: RequestId, server: ServerId) {
         let Some(open) = self.nodes[node].open.get_mut(&request) else {
-            return;
+            let request = (node, request);
+            return self.invariants.sent_after_forgetting(self.now, request);
         };
         let attempt = open.attempts_sent;
         let client = open.client;
         let deadline = open.deadline;
-        let may_send = !open.complete && u32::from(attempt) < MAX_ATTEMPTS && self.now < deadline;
+        let complete = open.complete;
+        let may_send = !complete && u32::from(attempt) < MAX_ATTEMPTS && self.now < deadline;
         open.attempts_sent += 1;
         open.in_flight += 1;
         let key = AttemptKey {
@@ -134,12 +135,21 @@
             server,
             client,
         });
+        if may_send || complete {
+            // The node holds back what its policy sends after the end, but the policy is at fault all the same.
+            self.invariants
+                .sent(self.now, (node, request), attempt, server);
+        }
         if !may_send {
             return self.schedule_outcome(self.now, job, AttemptStatus::NotSent);
         }
-        self.invariants
-            .sent(self.now, (node, request), attempt, server);
         self.count_attempt(client, server);
+        self.put_on_the_way(job, node, server);
+        self.tell_deadline(node, request, server);
+        self.schedule(deadline, Event::Attempt(AttemptEvent::TimesOut { job }));
+    }
+
+    fn put_on_the_way(&mut self, job: JobId, node: NodeId, server: ServerId) {
         let zone = self.nodes[node].zone();
         let server_zone = self.zone_of(server, zone);
         let random = &mut self.random.network;
@@ -147,7 +157,23 @@
             let arrival = AttemptEvent::ReachesServer { job };
             self.schedule(self.now + delay, Event::Attempt(arrival));
         }
-        self.schedule(deadline, Event::Attempt(AttemptEvent::TimesOut { job }));
+    }
+
+    /// An attempt that is sent now tells its cache server how much time is left.
+    fn tell_deadline(&mut self, node: NodeId, request: RequestId, server: ServerId) {
+        let Some(open) = self.nodes[node].open.get(&request) else {
+            return;
+        };
+        if server == ORIGIN {
+            return;
+        }
+        let remaining = if self.defect == Some(Defect::TellsWholeDeadline) {
+            open.whole_time
+        } else {
+            open.deadline.saturating_sub(self.now)
+        };
+        self.invariants
+            .told_deadline(self.now, (node, request), remaining);
     }
 
     fn count_attempt(&mut self, client: u64, server: ServerId) {
@@ -194,12 +220,7 @@
             .endpoints
             .get(&server)
             .is_some_and(|record| record.started >= started);
-        let grace = InvariantLimits::default().notified_after;
-        let should_know = self
-            .starts_known
-            .get(&server)
-            .is_some_and(|known| self.now >= known + grace);
-        notified || should_know
+        notified || self.invariants.start_counts_as_notified(self.now, server)
     }
 
     fn arrive_at_origin(&mut self, job: JobId) {
--- a/crates/testbed/src/virtual_time/clients.rs
+++ b/crates/testbed/src/virtual_time/clients.rs
@@ -3,10 +3,10 @@
 use cluster_model::Micros;
 use cluster_model::endpoint_list::NodeId;
 use rand::Rng;
-use routing_policy::{Event as PolicyEvent, Request};
+use routing_policy::{Event as PolicyEvent, Request, RequestId};
 
 use super::nodes::OpenRequest;
-use super::{Event, Simulation};
+use super::{Defect, Event, Simulation};
 use crate::clients::{Assignment, Client, Reply};
 use crate::deployment;
 
@@ -76,7 +76,7 @@
         // The way to the node takes some of the time that it is told.
         let remaining = client.deadline.saturating_sub(self.now + CLIENT_DELAY);
         let deadline = self.now + remaining;
-        let id = self.nodes[node].open_request(OpenRequest::new(client_id, deadline));
+        let id = self.nodes[node].open_request(OpenRequest::new(client_id, deadline, remaining));
         self.clients.assign(client_id, node, id);
         let idempotency = deployment::idempotency(self.scenario, client.class);
         self.invariants.accepted((node, id), deadline, idempotency);
@@ -85,7 +85,7 @@
             class: client.class,
             key: client.key,
             write: self.scenario.classes[client.class].write,
-            remaining_deadline: remaining,
+            remaining_deadline: self.remaining_at_node(node, deadline),
             ..Request::default()
         };
         self.notify_policy(node, PolicyEvent::Request(request));
@@ -103,12 +103,26 @@
         }
     }
 
-    /// A client goes away. It is owed no answer any more, and its node notices that it has disconnected.
-    fn client_leaves(&mut self, client: u64) {
-        let Some(Assignment { node, request }) = self.clients.leave(client) else {
+    /// A client goes away. One whose time is over keeps its connection, and is owed the answer even so. One that goes
+    /// before closes it: it is owed nothing any more, and its node notices.
+    fn client_leaves(&mut self, id: u64) {
+        let closes = self
+            .clients
+            .get(id)
+            .is_some_and(|client| client.leaves_at < client.deadline);
+        let Some(Assignment { node, request }) = self.clients.leave(id) else {
             return;
         };
+        if closes {
+            self.client_closes(node, request);
+        }
+    }
+
+    fn client_closes(&mut self, node: NodeId, request: RequestId) {
         self.invariants.client_gone(self.now, (node, request));
+        if self.defect == Some(Defect::IgnoresClosedClients) {
+            return;
+        }
         if let Some(open) = self.nodes[node].open.get_mut(&request)
             && !open.complete
         {
--- a/crates/testbed/src/virtual_time/discovery.rs
+++ b/crates/testbed/src/virtual_time/discovery.rs
@@ -8,7 +8,7 @@
 
 use super::clients::CLIENT_DELAY;
 use super::servers::ORIGIN;
-use super::{Event, Simulation};
+use super::{Defect, Event, Simulation};
 use crate::micros;
 
 /// An event of the endpoint list service.
@@ -49,6 +49,7 @@
             DiscoveryEvent::ListRestored => {
                 // While the service is down it has neither watches nor calls that could fail.
                 let _ = self.list.set_available(self.now, true);
+                self.invariants.discovery_reachable(self.now, true);
             }
         }
     }
@@ -83,6 +84,9 @@
     }
 
     fn list_response_arrives(&mut self, node: NodeId, response: ListResponse) {
+        if self.defect == Some(Defect::IgnoresEndpointList) {
+            return;
+        }
         let ListResponse::Update {
             version,
             complete,
@@ -195,9 +199,6 @@
         let ready = record.condition == Condition::Ready;
         self.invariants
             .readiness_known(self.now, record.server, ready);
-        if ready {
-            self.starts_known.insert(record.server, self.now);
-        }
         for notification in self.list.publish(self.now, record) {
             let Notification { at, node, response } = notification;
             self.schedule_list_response(at, node, response);
--- a/crates/testbed/src/virtual_time/faults.rs
+++ b/crates/testbed/src/virtual_time/faults.rs
@@ -188,6 +188,7 @@
     fn pause_nodes(&mut self, part: f64, lasts: Micros) {
         for node in self.pick_nodes(part) {
             self.nodes[node].pause();
+            self.invariants.paused(self.now, node);
             self.schedule(self.now + lasts, Event::Node(NodeEvent::PauseEnds { node }));
         }
     }
@@ -211,6 +212,7 @@
     }
 
     fn stop_list(&mut self, lasts: Micros) {
+        self.invariants.discovery_reachable(self.now, false);
         for NodeResponse { node, response } in self.list.set_available(self.now, false) {
             self.schedule_list_response(self.now, node, response);
         }
--- a/crates/testbed/src/virtual_time/lifecycle.rs
+++ b/crates/testbed/src/virtual_time/lifecycle.rs
@@ -1,22 +1,21 @@
 //! The life of the nodes: they start, are paused, killed, and shut down gracefully to restart.
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
 use cluster_model::Micros;
 use cluster_model::endpoint_list::NodeId;
 use rand::Rng;
-use routing_policy::{Event as PolicyEvent, Policy};
+use routing_policy::{Event as PolicyEvent, Policy, Request, RequestId};
 
 use super::clients::CLIENT_DELAY;
-use super::nodes::Node;
-use super::{Event, Simulation};
+use super::nodes::{Node, Shutdown};
+use super::{Defect, Event, Simulation};
 use crate::clients::Reply;
 use crate::scenario::DEREGISTRATION_DELAY;
 use crate::{deployment, micros};
 
-/// A node that shuts down and has not answered all requests after this time is killed, as a platform does; in
-/// microseconds.
-const SHUTDOWN_TIMEOUT: Micros = 10_000_000;
+/// Time that a node leaves itself for its last answers before the platform may kill it, in microseconds.
+const FINAL_ANSWER_TIME: Micros = 100_000;
 /// How often it is checked whether a node that shuts down has answered all requests, in microseconds.
 const SHUTDOWN_CHECK: Micros = 10_000;
 /// Time that a process takes to start, in microseconds.
@@ -38,17 +37,21 @@
     /// The load balancer stops sending requests to a node that shuts down.
     Deregister { node: NodeId, incarnation: u32 },
     /// It is checked whether a node that shuts down has answered all requests.
-    CheckShutdown {
-        node: NodeId,
-        incarnation: u32,
-        since: Micros,
-    },
+    CheckShutdown { node: NodeId, incarnation: u32 },
     /// A node's process starts again.
     Start { node: NodeId },
     /// The load balancer notices that a node has died.
     DeathDetected { node: NodeId, incarnation: u32 },
 }
 
+/// The request whose client has gone by an event.
+fn gone_request(event: &PolicyEvent) -> Option<RequestId> {
+    match event {
+        PolicyEvent::ClientGone(request) => Some(*request),
+        _ => None,
+    }
+}
+
 impl Simulation<'_> {
     pub(super) fn handle_node_event(&mut self, event: NodeEvent) {
         match event {
@@ -66,16 +69,12 @@
             NodeEvent::Deregister { node, incarnation } => {
                 if self.is_current(node, incarnation) {
                     self.load_balancer.deregister(node);
-                    self.check_shutdown(node, incarnation, self.now);
+                    self.check_shutdown(node, incarnation);
                 }
             }
-            NodeEvent::CheckShutdown {
-                node,
-                incarnation,
-                since,
-            } => {
+            NodeEvent::CheckShutdown { node, incarnation } => {
                 if self.is_current(node, incarnation) {
-                    self.check_shutdown(node, incarnation, since);
+                    self.check_shutdown(node, incarnation);
                 }
             }
             NodeEvent::Start { node } => self.restart_node(node),
@@ -96,6 +95,10 @@
 
     fn new_policy(&mut self, node: NodeId) -> Policy {
         let settings = deployment::settings(self.scenario, node);
+        let settings = match self.defect {
+            Some(defect) => defect.apply(settings),
+            None => settings,
+        };
         Policy::new(settings, self.random.node_seeds.random())
     }
 
@@ -117,16 +120,49 @@
 
     /// A pause of a node ends, perhaps its last.
     fn end_pause(&mut self, node: NodeId) {
-        for event in self.nodes[node].resume() {
+        let events = self.nodes[node].resume();
+        if !self.nodes[node].is_paused() {
+            self.invariants.resumed(self.now, node);
+        }
+        for event in self.in_order_of_resumption(node, events) {
             self.notify_policy(node, event);
         }
     }
 
+    /// The events that waited while a node was paused, as it handles them: closed connections come first, requests that
+    /// came on them are passed over, and the others have what is left of their time.
+    fn in_order_of_resumption(&self, node: NodeId, events: Vec<PolicyEvent>) -> Vec<PolicyEvent> {
+        let gone: BTreeSet<RequestId> = events.iter().filter_map(gone_request).collect();
+        let (mut ordered, others): (Vec<_>, Vec<_>) = events
+            .into_iter()
+            .partition(|event| gone_request(event).is_some());
+        for event in others {
+            match event {
+                PolicyEvent::Request(request) if gone.contains(&request.id) => {}
+                PolicyEvent::Request(request) => {
+                    let open = self.nodes[node].open.get(&request.id);
+                    let remaining = open.map_or(0, |open| open.deadline.saturating_sub(self.now));
+                    ordered.push(PolicyEvent::Request(Request {
+                        remaining_deadline: remaining,
+                        ..request
+                    }));
+                }
+                other => ordered.push(other),
+            }
+        }
+        ordered
+    }
+
     /// A node is told to shut down; the load balancer sends it requests for a while longer.
     fn begin_restart(&mut self, node: NodeId) {
         if !self.nodes[node].is_running() {
             return;
         }
+        let killed_at = self.now + deployment::earliest_kill_after_terminate(self.scenario);
+        self.nodes[node].begin_shutdown(Shutdown {
+            answer_by: killed_at - FINAL_ANSWER_TIME,
+            killed_at,
+        });
         let deregister = NodeEvent::Deregister {
             node,
             incarnation: self.nodes[node].incarnation(),
@@ -135,21 +171,50 @@
         self.schedule(self.now + delay, Event::Node(deregister));
     }
 
-    /// Ends a node that has answered all its requests or has taken too long, and starts it again; else checks later.
-    fn check_shutdown(&mut self, node: NodeId, incarnation: u32, since: Micros) {
-        let timed_out = self.now > since + SHUTDOWN_TIMEOUT;
-        if self.nodes[node].open.is_empty() || timed_out {
-            self.kill_node(node);
+    /// Ends a node that has answered all its requests or whose time is over, and starts it again; else checks later.
+    fn check_shutdown(&mut self, node: NodeId, incarnation: u32) {
+        let Some(shutdown) = self.nodes[node].shutdown() else {
+            return;
+        };
+        if self.now >= shutdown.answer_by && self.defect != Some(Defect::NoAnswersBeforeExit) {
+            self.answer_all(node);
+        }
+        if self.nodes[node].open.is_empty() || self.now >= shutdown.killed_at {
+            self.end_process(node);
             let start = NodeEvent::Start { node };
             self.schedule(self.now + PROCESS_START, Event::Node(start));
             return;
         }
-        let check = NodeEvent::CheckShutdown {
-            node,
-            incarnation,
-            since,
+        let check = NodeEvent::CheckShutdown { node, incarnation };
+        let next = (self.now + SHUTDOWN_CHECK).min(shutdown.killed_at);
+        self.schedule(next, Event::Node(check));
+    }
+
+    /// A node whose shutdown is nearly over gives the answers that are left, which say that the requests failed.
+    fn answer_all(&mut self, node: NodeId) {
+        for request in self.nodes[node].unanswered() {
+            self.answer(node, request, Reply::Failed);
+            self.notify_policy(node, PolicyEvent::ClientGone(request));
+        }
+    }
+
+    /// The process of a node that was told to shut down ends: what it leaves unanswered is lost.
+    fn end_process(&mut self, node: NodeId) {
+        for request in self.nodes[node].unanswered() {
+            self.invariants.aborted(self.now, (node, request));
+        }
+        self.kill_node(node);
+    }
+
+    /// The time that a node has for a request with a deadline, which is less near the end of its shutdown.
+    pub(super) fn remaining_at_node(&self, node: NodeId, deadline: Micros) -> Micros {
+        let answer_by = match self.nodes[node].shutdown() {
+            Some(shutdown) if self.defect != Some(Defect::NoAnswersBeforeExit) => {
+                shutdown.answer_by
+            }
+            _ => Micros::MAX,
         };
-        self.schedule(self.now + SHUTDOWN_CHECK, Event::Node(check));
+        deadline.min(answer_by).saturating_sub(self.now)
     }
 
     /// A node's process ends: its attempts are cancelled, and its clients' connections break.
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -3,10 +3,11 @@
 //!
 //! Each concern has a module, most with the events that it handles: `clients` with the `load_balancer`; `nodes` with the
 //! `lifecycle` of their processes and the `policy_driver`; `attempts` on their way between nodes and servers; `servers`
-//! with the origin; `discovery` through the endpoint list; and `faults`.
+//! with the origin; `discovery` through the endpoint list; and `faults`. A `defect` is for tests of the invariants.
 
 mod attempts;
 mod clients;
+mod defect;
 mod discovery;
 mod faults;
 mod lifecycle;
@@ -31,6 +32,7 @@
 use crate::{deployment, micros};
 use attempts::{AttemptEvent, InFlightAttempts};
 use clients::ClientEvent;
+pub use defect::Defect;
 use discovery::DiscoveryEvent;
 use faults::InjectionEvent;
 use lifecycle::NodeEvent;
@@ -92,15 +94,24 @@
     /// Grows whenever the origin's next event is scheduled anew; earlier ones are void.
     origin_generation: u64,
     list: EndpointList,
-    /// When the latest start of each server became known.
-    starts_known: BTreeMap<ServerId, Micros>,
     invariants: Invariants,
     attempts_by_server: BTreeMap<ServerId, u64>,
+    /// What the nodes do wrong on purpose.
+    defect: Option<Defect>,
 }
 
 /// Runs a scenario with a seed.
 pub fn run(scenario: &Scenario, seed: u64) -> Report {
-    let mut simulation = Simulation::new(scenario, seed);
+    run_nodes(scenario, seed, None)
+}
+
+/// Runs a scenario with a seed and with nodes that all have a defect.
+pub fn run_with_defect(scenario: &Scenario, seed: u64, defect: Defect) -> Report {
+    run_nodes(scenario, seed, Some(defect))
+}
+
+fn run_nodes(scenario: &Scenario, seed: u64, defect: Option<Defect>) -> Report {
+    let mut simulation = Simulation::new(scenario, seed, defect);
     simulation.begin();
     let end = BEGIN + micros(scenario.length) + MAX_TAIL;
     while let Some((at, event)) = simulation.queue.pop() {
@@ -111,11 +122,13 @@
         simulation.events += 1;
         simulation.handle(event);
     }
+    // Whatever is open and has no event left is never answered.
+    simulation.now = end;
     simulation.report(seed)
 }
 
 impl<'a> Simulation<'a> {
-    fn new(scenario: &'a Scenario, seed: u64) -> Self {
+    fn new(scenario: &'a Scenario, seed: u64, defect: Option<Defect>) -> Self {
         let servers = servers::initial_servers(scenario);
         let list = EndpointList::new(deployment::endpoint_list(scenario), servers.keys().copied());
         Simulation {
@@ -132,9 +145,9 @@
             origin: deployment::origin(scenario, BEGIN),
             origin_generation: 0,
             list,
-            starts_known: BTreeMap::new(),
             invariants: deployment::invariants(scenario, 0),
             attempts_by_server: BTreeMap::new(),
+            defect,
             scenario,
         }
     }
--- a/crates/testbed/src/virtual_time/nodes.rs
+++ b/crates/testbed/src/virtual_time/nodes.rs
@@ -17,6 +17,8 @@
     pub(super) client: u64,
     /// In microseconds.
     pub(super) deadline: Micros,
+    /// Time from its arrival to its deadline, in microseconds.
+    pub(super) whole_time: Micros,
     /// Attempts sent so far.
     pub(super) attempts_sent: u16,
     /// Attempts without an outcome so far.
@@ -28,10 +30,11 @@
 }
 
 impl OpenRequest {
-    pub(super) fn new(client: u64, deadline: Micros) -> Self {
+    pub(super) fn new(client: u64, deadline: Micros, whole_time: Micros) -> Self {
         OpenRequest {
             client,
             deadline,
+            whole_time,
             attempts_sent: 0,
             in_flight: 0,
             complete: false,
@@ -40,6 +43,15 @@
     }
 }
 
+/// When a node that was told to shut down has to be done, in microseconds.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Shutdown {
+    /// It gives the answers that are left by then.
+    pub(super) answer_by: Micros,
+    /// The platform kills it then.
+    pub(super) killed_at: Micros,
+}
+
 /// A node, over all its incarnations.
 pub(super) struct Node {
     policy: Policy,
@@ -53,6 +65,8 @@
     pauses: u32,
     /// Events that wait for its policy while it is paused.
     deferred: Vec<PolicyEvent>,
+    /// Once it was told to shut down.
+    shutdown: Option<Shutdown>,
     /// Its copy of the endpoint list.
     pub(super) endpoints: BTreeMap<ServerId, EndpointRecord>,
     /// Version of that copy.
@@ -76,6 +90,7 @@
             open: BTreeMap::new(),
             pauses: 0,
             deferred: Vec::new(),
+            shutdown: None,
             endpoints,
             list_version,
         }
@@ -113,6 +128,10 @@
         actions
     }
 
+    pub(super) fn is_paused(&self) -> bool {
+        self.pauses > 0
+    }
+
     /// Pauses the node once more.
     pub(super) fn pause(&mut self) {
         self.pauses += 1;
@@ -127,10 +146,28 @@
         std::mem::take(&mut self.deferred)
     }
 
+    /// It is told to shut down, unless it was before.
+    pub(super) fn begin_shutdown(&mut self, shutdown: Shutdown) {
+        self.shutdown.get_or_insert(shutdown);
+    }
+
+    pub(super) fn shutdown(&self) -> Option<Shutdown> {
+        self.shutdown
+    }
+
+    /// The requests that have no final answer yet.
+    pub(super) fn unanswered(&self) -> Vec<RequestId> {
+        let open = self.open.iter();
+        open.filter(|(_, request)| !request.complete)
+            .map(|(id, _)| *id)
+            .collect()
+    }
+
     /// Its process ends. Returns the requests that it had.
     pub(super) fn stop(&mut self) -> BTreeMap<RequestId, OpenRequest> {
         self.running = false;
         self.incarnation += 1;
+        self.shutdown = None;
         std::mem::take(&mut self.open)
     }
 
--- a/crates/testbed/src/virtual_time/policy_driver.rs
+++ b/crates/testbed/src/virtual_time/policy_driver.rs
@@ -6,7 +6,7 @@
 use super::clients::CLIENT_DELAY;
 use super::lifecycle::NodeEvent;
 use super::nodes::OpenRequest;
-use super::{Event, Simulation};
+use super::{Defect, Event, Simulation};
 use crate::clients::Reply;
 
 impl Simulation<'_> {
@@ -57,7 +57,8 @@
         let Some(open) = self.nodes[node].open.get_mut(&request) else {
             return;
         };
-        if open.complete {
+        let withheld = self.defect == Some(Defect::AnswersOnlyWithValues) && reply != Reply::Served;
+        if open.complete || withheld {
             return;
         }
         open.complete = true;
--- /dev/null
+++ b/crates/testbed/tests/invariants.rs
@@ -0,0 +1,187 @@
+//! Scenarios that play each invariant in virtual time: nodes keep it, and nodes that lack the safeguard for it do not.
+#![allow(
+    missing_docs,
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "test code"
+)]
+
+use std::path::PathBuf;
+use std::time::Duration;
+
+use router_config::Span;
+use testbed::report::Counts;
+use testbed::scenario::{FaultEvent, Idempotency};
+use testbed::virtual_time::{Defect, run, run_with_defect};
+use testbed::{Report, Scenario};
+
+fn milliseconds(milliseconds: u64) -> Span {
+    Span(Duration::from_millis(milliseconds))
+}
+
+/// Some seconds of a sound fleet with these faults.
+fn scenario(seconds: u64, faults: Vec<FaultEvent>) -> Scenario {
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("scenarios/calm.toml");
+    let mut scenario = Scenario::read(&path).unwrap_or_else(|e| panic!("{e}"));
+    scenario.length = Span(Duration::from_secs(seconds));
+    scenario.faults = faults;
+    scenario
+}
+
+fn sum(report: &Report, count: impl Fn(&Counts) -> u64) -> u64 {
+    report.windows.iter().map(count).sum()
+}
+
+/// Checks that a scenario violates no invariant, unless the nodes have a defect. Returns the report without it.
+fn only_violated_with(scenario: &Scenario, defect: Defect, violation: &str) -> Report {
+    let sound = run(scenario, 1);
+    assert!(sound.invariants_hold(), "{sound}");
+    let report = run_with_defect(scenario, 1, defect);
+    let shown = &report.violations;
+    assert!(
+        shown.iter().any(|shown| shown.contains(violation)),
+        "{defect:?} violates nothing: {report}"
+    );
+    sound
+}
+
+/// Most servers are replaced by cold ones, which can do a twentieth of what they can do later.
+fn cold_start(nodes: u32) -> Scenario {
+    let replaced = FaultEvent::ReplaceServers {
+        at: milliseconds(500),
+        part: 0.6,
+        over: milliseconds(500),
+        drain: milliseconds(1_000),
+    };
+    let mut scenario = scenario(4, vec![replaced]);
+    scenario.nodes = nodes;
+    scenario.invariants.collapse_multiple = 1.2;
+    scenario.load.per_s = 1_400.0;
+    for kind in &mut scenario.kinds {
+        kind.cold_share = 0.05;
+    }
+    scenario
+}
+
+#[test]
+fn one_node_spares_servers_in_slow_start() {
+    only_violated_with(&cold_start(1), Defect::NoSlowStart, "failback: ");
+}
+
+#[test]
+fn five_nodes_together_spare_servers_in_slow_start() {
+    only_violated_with(&cold_start(5), Defect::NoSlowStart, "failback: ");
+}
+
+#[test]
+fn thirty_nodes_together_spare_servers_in_slow_start() {
+    only_violated_with(&cold_start(30), Defect::NoSlowStart, "failback: ");
+}
+
+#[test]
+fn three_hundred_nodes_together_spare_servers_in_slow_start() {
+    only_violated_with(&cold_start(300), Defect::NoSlowStart, "failback: ");
+}
+
+/// Answers that are lost, so that requests need further attempts, and an origin that defers calls.
+fn lossy(seconds: u64) -> Scenario {
+    let lost = FaultEvent::DamageAnswers {
+        at: milliseconds(0),
+        lost: 0.3,
+        spoilt: 0.1,
+        reset: 0.1,
+        lasts: Span(Duration::from_secs(seconds)),
+    };
+    let slow_origin = FaultEvent::OriginSlow {
+        at: milliseconds(0),
+        taken: 0.8,
+        lasts: Span(Duration::from_secs(seconds)),
+    };
+    scenario(seconds, vec![lost, slow_origin])
+}
+
+#[test]
+fn no_attempt_begins_after_the_client_closed_its_connection() {
+    for leaves_after in [10, 150] {
+        let mut scenario = lossy(3);
+        scenario.load.abandon_share = 0.5;
+        scenario.load.abandon_after = milliseconds(leaves_after);
+        let defect = Defect::IgnoresClosedClients;
+        let report = only_violated_with(&scenario, defect, "after its end");
+        assert!(sum(&report, |window| window.abandoned) > 100, "{report}");
+    }
+}
+
+#[test]
+fn attempts_tell_their_servers_at_most_the_time_that_is_left() {
+    only_violated_with(&lossy(3), Defect::TellsWholeDeadline, "deadline: ");
+}
+
+/// All nodes are told to shut down one after another while the origin hardly answers, with this deadline.
+fn restarts(deadline_ms: u64) -> Scenario {
+    let mut scenario = lossy(6);
+    scenario.length = milliseconds(3_000);
+    scenario.faults.push(FaultEvent::OriginSlow {
+        at: milliseconds(1),
+        taken: 0.99,
+        lasts: milliseconds(6_000),
+    });
+    scenario.faults.push(FaultEvent::RestartNodes {
+        at: milliseconds(1_000),
+        part: 1.0,
+        over: milliseconds(1_000),
+    });
+    for class in &mut scenario.classes {
+        class.deadline = milliseconds(deadline_ms);
+        class.latency_objective = milliseconds(deadline_ms.min(400));
+    }
+    scenario
+}
+
+#[test]
+fn what_a_node_has_read_is_answered_before_the_platform_may_kill_it() {
+    for deadline_ms in [100, 400, 1_000, 3_000, 8_000] {
+        let report = run(&restarts(deadline_ms), 1);
+        assert!(report.invariants_hold(), "{deadline_ms} ms: {report}");
+    }
+    only_violated_with(&restarts(8_000), Defect::NoAnswersBeforeExit, "lost: ");
+}
+
+#[test]
+fn requests_whose_time_ends_while_servers_are_silent_get_their_answer_all_the_same() {
+    for effect in [Idempotency::Idempotent, Idempotency::NotIdempotent] {
+        let mut scenario = lossy(2);
+        for class in &mut scenario.classes {
+            class.idempotency = effect;
+            class.deadline = milliseconds(200);
+            class.latency_objective = milliseconds(200);
+        }
+        only_violated_with(&scenario, Defect::AnswersOnlyWithValues, "lost: ");
+    }
+}
+
+#[test]
+fn a_change_counts_as_notified_six_seconds_after_it_was_known() {
+    let mut faults = vec![FaultEvent::ReplaceServers {
+        at: milliseconds(200),
+        part: 0.3,
+        over: milliseconds(100),
+        drain: milliseconds(11_000),
+    }];
+    let violation = "drain: ";
+    let notified = scenario(11, faults.clone());
+    only_violated_with(&notified, Defect::IgnoresEndpointList, violation);
+    // Discovery learns of the changes in an outage, and can be reached 6 s before the end only.
+    faults.push(FaultEvent::ListDown {
+        at: milliseconds(100),
+        lasts: milliseconds(4_500),
+    });
+    let report = run_with_defect(&scenario(11, faults), 1, Defect::IgnoresEndpointList);
+    assert!(
+        !report
+            .violations
+            .iter()
+            .any(|shown| shown.contains(violation)),
+        "{report}"
+    );
+}
