--- a/crates/testbed/src/virtual_time/attempts.rs
+++ b/crates/testbed/src/virtual_time/attempts.rs
@@ -167,7 +167,7 @@
         if server == ORIGIN {
             return;
         }
-        let remaining = if self.defect == Some(Defect::TellsWholeDeadline) {
+        let remaining = if self.has_defect(Defect::TellsWholeDeadline) {
             open.whole_time
         } else {
             open.deadline.saturating_sub(self.now)
--- a/crates/testbed/src/virtual_time/clients.rs
+++ b/crates/testbed/src/virtual_time/clients.rs
@@ -120,7 +120,7 @@
 
     fn client_closes(&mut self, node: NodeId, request: RequestId) {
         self.invariants.client_gone(self.now, (node, request));
-        if self.defect == Some(Defect::IgnoresClosedClients) {
+        if self.has_defect(Defect::IgnoresClosedClients) {
             return;
         }
         if let Some(open) = self.nodes[node].open.get_mut(&request)
--- a/crates/testbed/src/virtual_time/discovery.rs
+++ b/crates/testbed/src/virtual_time/discovery.rs
@@ -84,7 +84,7 @@
     }
 
     fn list_response_arrives(&mut self, node: NodeId, response: ListResponse) {
-        if self.defect == Some(Defect::IgnoresEndpointList) {
+        if self.has_defect(Defect::IgnoresEndpointList) {
             return;
         }
         let ListResponse::Update {
--- a/crates/testbed/src/virtual_time/lifecycle.rs
+++ b/crates/testbed/src/virtual_time/lifecycle.rs
@@ -95,11 +95,10 @@
 
     fn new_policy(&mut self, node: NodeId) -> Policy {
         let settings = deployment::settings(self.scenario, node);
-        let settings = match self.defect {
-            Some(defect) => defect.apply(settings),
-            None => settings,
-        };
-        Policy::new(settings, self.random.node_seeds.random())
+        Policy::new(
+            self.options.apply(settings),
+            self.random.node_seeds.random(),
+        )
     }
 
     pub(super) fn start_all_nodes(&mut self) {
@@ -176,7 +175,7 @@
         let Some(shutdown) = self.nodes[node].shutdown() else {
             return;
         };
-        if self.now >= shutdown.answer_by && self.defect != Some(Defect::NoAnswersBeforeExit) {
+        if self.now >= shutdown.answer_by && !self.has_defect(Defect::NoAnswersBeforeExit) {
             self.answer_all(node);
         }
         if self.nodes[node].open.is_empty() || self.now >= shutdown.killed_at {
@@ -209,9 +208,7 @@
     /// The time that a node has for a request with a deadline, which is less near the end of its shutdown.
     pub(super) fn remaining_at_node(&self, node: NodeId, deadline: Micros) -> Micros {
         let answer_by = match self.nodes[node].shutdown() {
-            Some(shutdown) if self.defect != Some(Defect::NoAnswersBeforeExit) => {
-                shutdown.answer_by
-            }
+            Some(shutdown) if !self.has_defect(Defect::NoAnswersBeforeExit) => shutdown.answer_by,
             _ => Micros::MAX,
         };
         deadline.min(answer_by).saturating_sub(self.now)
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -3,15 +3,15 @@
 //!
 //! Each concern has a module, most with the events that it handles: `clients` with the `load_balancer`; `nodes` with the
 //! `lifecycle` of their processes and the `policy_driver`; `attempts` on their way between nodes and servers; `servers`
-//! with the origin; `discovery` through the endpoint list; and `faults`. A `defect` is for tests of the invariants.
+//! with the origin; `discovery` through the endpoint list; and `faults`. `node_options` are for tests of the invariants.
 
 mod attempts;
 mod clients;
-mod defect;
 mod discovery;
 mod faults;
 mod lifecycle;
 mod load_balancer;
+mod node_options;
 mod nodes;
 mod policy_driver;
 mod servers;
@@ -32,11 +32,11 @@
 use crate::{deployment, micros};
 use attempts::{AttemptEvent, InFlightAttempts};
 use clients::ClientEvent;
-pub use defect::Defect;
 use discovery::DiscoveryEvent;
 use faults::InjectionEvent;
 use lifecycle::NodeEvent;
 use load_balancer::LoadBalancer;
+pub use node_options::{Defect, NodeOptions};
 use nodes::Nodes;
 use servers::{Server, ServerEvent};
 
@@ -96,22 +96,17 @@
     list: EndpointList,
     invariants: Invariants,
     attempts_by_server: BTreeMap<ServerId, u64>,
-    /// What the nodes do wrong on purpose.
-    defect: Option<Defect>,
+    options: NodeOptions,
 }
 
 /// Runs a scenario with a seed.
 pub fn run(scenario: &Scenario, seed: u64) -> Report {
-    run_nodes(scenario, seed, None)
+    run_with_options(scenario, seed, NodeOptions::default())
 }
 
-/// Runs a scenario with a seed and with nodes that all have a defect.
-pub fn run_with_defect(scenario: &Scenario, seed: u64, defect: Defect) -> Report {
-    run_nodes(scenario, seed, Some(defect))
-}
-
-fn run_nodes(scenario: &Scenario, seed: u64, defect: Option<Defect>) -> Report {
-    let mut simulation = Simulation::new(scenario, seed, defect);
+/// Runs a scenario with a seed and with nodes that differ from those of its deployment.
+pub fn run_with_options(scenario: &Scenario, seed: u64, options: NodeOptions) -> Report {
+    let mut simulation = Simulation::new(scenario, seed, options);
     simulation.begin();
     let end = BEGIN + micros(scenario.length) + MAX_TAIL;
     while let Some((at, event)) = simulation.queue.pop() {
@@ -128,7 +123,7 @@
 }
 
 impl<'a> Simulation<'a> {
-    fn new(scenario: &'a Scenario, seed: u64, defect: Option<Defect>) -> Self {
+    fn new(scenario: &'a Scenario, seed: u64, options: NodeOptions) -> Self {
         let servers = servers::initial_servers(scenario);
         let list = EndpointList::new(deployment::endpoint_list(scenario), servers.keys().copied());
         Simulation {
@@ -147,7 +142,7 @@
             list,
             invariants: deployment::invariants(scenario, 0),
             attempts_by_server: BTreeMap::new(),
-            defect,
+            options,
             scenario,
         }
     }
@@ -163,6 +158,10 @@
         self.schedule_next_arrival();
     }
 
+    fn has_defect(&self, defect: Defect) -> bool {
+        self.options.defect == Some(defect)
+    }
+
     fn schedule(&mut self, at: Micros, event: Event) {
         self.queue.schedule(at.max(self.now), event);
     }
--- a/crates/testbed/src/virtual_time/policy_driver.rs
+++ b/crates/testbed/src/virtual_time/policy_driver.rs
@@ -54,10 +54,10 @@
 
     /// A node gives its final answer to a request, unless it has done so before.
     pub(super) fn answer(&mut self, node: NodeId, request: RequestId, reply: Reply) {
+        let withheld = self.has_defect(Defect::AnswersOnlyWithValues) && reply != Reply::Served;
         let Some(open) = self.nodes[node].open.get_mut(&request) else {
             return;
         };
-        let withheld = self.defect == Some(Defect::AnswersOnlyWithValues) && reply != Reply::Served;
         if open.complete || withheld {
             return;
         }
--- a/crates/testbed/tests/invariants.rs
+++ b/crates/testbed/tests/invariants.rs
@@ -12,7 +12,7 @@
 use router_config::Span;
 use testbed::report::Counts;
 use testbed::scenario::{FaultEvent, Idempotency};
-use testbed::virtual_time::{Defect, run, run_with_defect};
+use testbed::virtual_time::{Defect, NodeOptions, run, run_with_options};
 use testbed::{Report, Scenario};
 
 fn milliseconds(milliseconds: u64) -> Span {
@@ -32,11 +32,19 @@
     report.windows.iter().map(count).sum()
 }
 
+fn run_with_defect(scenario: &Scenario, defect: Defect) -> Report {
+    let options = NodeOptions {
+        defect: Some(defect),
+        ..NodeOptions::default()
+    };
+    run_with_options(scenario, 1, options)
+}
+
 /// Checks that a scenario violates no invariant, unless the nodes have a defect. Returns the report without it.
 fn only_violated_with(scenario: &Scenario, defect: Defect, violation: &str) -> Report {
     let sound = run(scenario, 1);
     assert!(sound.invariants_hold(), "{sound}");
-    let report = run_with_defect(scenario, 1, defect);
+    let report = run_with_defect(scenario, defect);
     let shown = &report.violations;
     assert!(
         shown.iter().any(|shown| shown.contains(violation)),
@@ -117,6 +125,29 @@
     only_violated_with(&lossy(3), Defect::TellsWholeDeadline, "deadline: ");
 }
 
+#[test]
+fn hedged_requests_keep_the_rules_on_clients_that_left_and_on_the_deadline_told() {
+    let mut scenario = lossy(3);
+    scenario.load.abandon_share = 0.5;
+    scenario.load.abandon_after = milliseconds(100);
+    let hedging = |defect| {
+        let hedging = true;
+        run_with_options(&scenario, 1, NodeOptions { hedging, defect })
+    };
+    let sound = hedging(None);
+    assert!(sound.invariants_hold(), "{sound}");
+    let attempts = |report: &Report| sum(report, |window| window.attempts);
+    let unhedged = run(&scenario, 1);
+    assert!(
+        attempts(&sound) > attempts(&unhedged) + 50,
+        "{sound}{unhedged}"
+    );
+    for defect in [Defect::IgnoresClosedClients, Defect::TellsWholeDeadline] {
+        let report = hedging(Some(defect));
+        assert!(!report.invariants_hold(), "{defect:?}: {report}");
+    }
+}
+
 /// All nodes are told to shut down one after another while the origin hardly answers, with this deadline.
 fn restarts(deadline_ms: u64) -> Scenario {
     let mut scenario = lossy(6);
@@ -176,7 +207,7 @@
         at: milliseconds(100),
         lasts: milliseconds(4_500),
     });
-    let report = run_with_defect(&scenario(11, faults), 1, Defect::IgnoresEndpointList);
+    let report = run_with_defect(&scenario(11, faults), Defect::IgnoresEndpointList);
     assert!(
         !report
             .violations
