--- a/crates/testbed/src/virtual_time/attempts.rs
+++ b/crates/testbed/src/virtual_time/attempts.rs
@@ -10,6 +10,7 @@
 use cluster_model::server::{Admission, Lookup, Response};
 use routing_policy::{AttemptStatus, Event as PolicyEvent, RequestId, ServerId};
 
+use super::nodes::DeferredOutcome;
 use super::servers::{ORIGIN, origin_status};
 use super::{Defect, Event, Simulation};
 use crate::clients::{Reply, log_normal_factor};
@@ -295,7 +296,17 @@
         self.schedule(at, Event::Attempt(outcome));
     }
 
-    fn outcome_arrives(&mut self, job: JobId, status: AttemptStatus) {
+    /// An attempt's outcome reaches its node. While that is paused, it waits.
+    pub(super) fn outcome_arrives(&mut self, job: JobId, status: AttemptStatus) {
+        let node = self.attempts.get(job).map(|attempt| attempt.node());
+        if let Some(node) = node.filter(|node| self.nodes[*node].is_paused()) {
+            let outcome = DeferredOutcome { job, status };
+            return self.nodes[node].defer_outcome(outcome);
+        }
+        self.handle_outcome(job, status);
+    }
+
+    fn handle_outcome(&mut self, job: JobId, status: AttemptStatus) {
         let Some(InFlightAttempt { key, server, .. }) = self.attempts.remove(job) else {
             return;
         };
--- a/crates/testbed/src/virtual_time/lifecycle.rs
+++ b/crates/testbed/src/virtual_time/lifecycle.rs
@@ -8,7 +8,7 @@
 use routing_policy::{Event as PolicyEvent, Policy, Request, RequestId};
 
 use super::clients::CLIENT_DELAY;
-use super::nodes::{Node, Shutdown};
+use super::nodes::{Deferred, DeferredOutcome, Node, Shutdown};
 use super::{Defect, Event, Simulation};
 use crate::clients::Reply;
 use crate::scenario::DEREGISTRATION_DELAY;
@@ -52,6 +52,14 @@
     }
 }
 
+/// Whether an event may forbid attempts that others would lead to.
+fn revokes_attempts(event: &PolicyEvent) -> bool {
+    matches!(
+        event,
+        PolicyEvent::ClientGone(_) | PolicyEvent::EndpointList { .. }
+    )
+}
+
 impl Simulation<'_> {
     pub(super) fn handle_node_event(&mut self, event: NodeEvent) {
         match event {
@@ -117,39 +125,42 @@
         }
     }
 
-    /// A pause of a node ends, perhaps its last.
+    /// A pause of a node ends, perhaps its last. What waited is handled: first what revokes attempts, then the outcomes
+    /// of attempts, then the rest.
     fn end_pause(&mut self, node: NodeId) {
-        let events = self.nodes[node].resume();
+        let Deferred { events, outcomes } = self.nodes[node].resume();
         if !self.nodes[node].is_paused() {
             self.invariants.resumed(self.now, node);
         }
-        for event in self.in_order_of_resumption(node, events) {
+        let gone: BTreeSet<RequestId> = events.iter().filter_map(gone_request).collect();
+        let (revoking, others): (Vec<_>, Vec<_>) = events.into_iter().partition(revokes_attempts);
+        for event in revoking {
             self.notify_policy(node, event);
         }
+        for DeferredOutcome { job, status } in outcomes {
+            self.outcome_arrives(job, status);
+        }
+        for event in others {
+            self.handle_after_pause(node, event, &gone);
+        }
     }
 
-    /// The events that waited while a node was paused, as it handles them: closed connections come first, requests that
-    /// came on them are passed over, and the others have what is left of their time.
-    fn in_order_of_resumption(&self, node: NodeId, events: Vec<PolicyEvent>) -> Vec<PolicyEvent> {
-        let gone: BTreeSet<RequestId> = events.iter().filter_map(gone_request).collect();
-        let (mut ordered, others): (Vec<_>, Vec<_>) = events
-            .into_iter()
-            .partition(|event| gone_request(event).is_some());
-        for event in others {
-            match event {
-                PolicyEvent::Request(request) if gone.contains(&request.id) => {}
-                PolicyEvent::Request(request) => {
-                    let open = self.nodes[node].open.get(&request.id);
-                    let remaining = open.map_or(0, |open| open.deadline.saturating_sub(self.now));
-                    ordered.push(PolicyEvent::Request(Request {
-                        remaining_deadline: remaining,
-                        ..request
-                    }));
-                }
-                other => ordered.push(other),
+    /// Handles an event that waited. A request whose client has gone is passed over, another has what is left of its
+    /// time.
+    fn handle_after_pause(&mut self, node: NodeId, event: PolicyEvent, gone: &BTreeSet<RequestId>) {
+        let event = match event {
+            PolicyEvent::Request(request) if gone.contains(&request.id) => return,
+            PolicyEvent::Request(request) => {
+                let open = self.nodes[node].open.get(&request.id);
+                let remaining = open.map_or(0, |open| open.deadline.saturating_sub(self.now));
+                PolicyEvent::Request(Request {
+                    remaining_deadline: remaining,
+                    ..request
+                })
             }
-        }
-        ordered
+            other => other,
+        };
+        self.notify_policy(node, event);
     }
 
     /// A node is told to shut down; the load balancer sends it requests for a while longer.
--- a/crates/testbed/src/virtual_time/nodes.rs
+++ b/crates/testbed/src/virtual_time/nodes.rs
@@ -5,8 +5,9 @@
 
 use cluster_model::Micros;
 use cluster_model::endpoint_list::{EndpointRecord, NodeId};
+use cluster_model::machine::JobId;
 use cluster_model::network::Zone;
-use routing_policy::{Action, Event as PolicyEvent, Policy, RequestId, ServerId};
+use routing_policy::{Action, AttemptStatus, Event as PolicyEvent, Policy, RequestId, ServerId};
 
 /// Id of the first request of an incarnation.
 const FIRST_REQUEST: RequestId = 1;
@@ -43,6 +44,21 @@
     }
 }
 
+/// An outcome that has reached a paused node.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct DeferredOutcome {
+    pub(super) job: JobId,
+    pub(super) status: AttemptStatus,
+}
+
+/// What waits while a node is paused, in the order of arrival.
+#[derive(Default)]
+pub(super) struct Deferred {
+    /// For its policy.
+    pub(super) events: Vec<PolicyEvent>,
+    pub(super) outcomes: Vec<DeferredOutcome>,
+}
+
 /// When a node that was told to shut down has to be done, in microseconds.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Shutdown {
@@ -63,8 +79,8 @@
     pub(super) open: BTreeMap<RequestId, OpenRequest>,
     /// Number of pauses that have not ended.
     pauses: u32,
-    /// Events that wait for its policy while it is paused.
-    deferred: Vec<PolicyEvent>,
+    /// What waits while it is paused.
+    deferred: Deferred,
     /// Once it was told to shut down.
     shutdown: Option<Shutdown>,
     /// Its copy of the endpoint list.
@@ -89,7 +105,7 @@
             next_request: FIRST_REQUEST,
             open: BTreeMap::new(),
             pauses: 0,
-            deferred: Vec::new(),
+            deferred: Deferred::default(),
             shutdown: None,
             endpoints,
             list_version,
@@ -121,7 +137,7 @@
     pub(super) fn handle(&mut self, now: Micros, event: PolicyEvent) -> Vec<Action> {
         let mut actions = Vec::new();
         if self.pauses > 0 {
-            self.deferred.push(event);
+            self.deferred.events.push(event);
         } else {
             self.policy.handle(now, event, &mut actions);
         }
@@ -137,11 +153,16 @@
         self.pauses += 1;
     }
 
-    /// Ends one pause. If it was the last, the node resumes: the events that waited are returned.
-    pub(super) fn resume(&mut self) -> Vec<PolicyEvent> {
+    /// An outcome of an attempt waits until the node resumes.
+    pub(super) fn defer_outcome(&mut self, outcome: DeferredOutcome) {
+        self.deferred.outcomes.push(outcome);
+    }
+
+    /// Ends one pause. If it was the last, the node resumes: what waited is returned.
+    pub(super) fn resume(&mut self) -> Deferred {
         self.pauses = self.pauses.saturating_sub(1);
         if self.pauses > 0 {
-            return Vec::new();
+            return Deferred::default();
         }
         std::mem::take(&mut self.deferred)
     }
@@ -177,7 +198,7 @@
         self.running = true;
         self.next_request = FIRST_REQUEST;
         self.pauses = 0;
-        self.deferred.clear();
+        self.deferred = Deferred::default();
     }
 }
 
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -199,6 +199,21 @@
     }
 }
 
+#[test]
+fn a_paused_node_answers_nothing_of_what_it_had_in_flight() {
+    let mut scenario = short("calm", 1);
+    scenario.faults = vec![FaultEvent::PauseNodes {
+        at: milliseconds(999),
+        part: 1.0,
+        lasts: lasts(),
+    }];
+    let report = run(&scenario, 1);
+    assert!(report.invariants_hold(), "{report}");
+    // Some 900 requests a second take 15 ms and more each.
+    let timed_out = sum(&report, |window| window.timed_out);
+    assert!(timed_out >= 10, "{timed_out} timed out: {report}");
+}
+
 #[test]
 fn restarted_nodes_and_a_relocated_list_violate_no_invariant() {
     let restarted = with_fault(FaultEvent::RestartNodes {
