--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! Each concern has a module, most with the events that it handles: `clients` with the `load_balancer`; `nodes` with the
 //! `lifecycle` of their processes and the `policy_driver`; `attempts` on their way between nodes and servers; `servers`
-//! with the origin; `discovery` through the endpoint list; and `faults`.
+//! with the origin; `discovery` through the endpoint list; and `faults`. `node_options` are for tests of the invariants.
 
 mod attempts;
 mod clients;
@@ -11,6 +11,7 @@
 mod faults;
 mod lifecycle;
 mod load_balancer;
+mod node_options;
 mod nodes;
 mod policy_driver;
 mod servers;
@@ -35,6 +36,7 @@
 use faults::InjectionEvent;
 use lifecycle::NodeEvent;
 use load_balancer::LoadBalancer;
+pub use node_options::{Defect, NodeOptions};
 use nodes::Nodes;
 use servers::{Server, ServerEvent};
 
@@ -92,15 +94,19 @@
     /// Grows whenever the origin's next event is scheduled anew; earlier ones are void.
     origin_generation: u64,
     list: EndpointList,
-    /// When the latest start of each server became known.
-    starts_known: BTreeMap<ServerId, Micros>,
     invariants: Invariants,
     attempts_by_server: BTreeMap<ServerId, u64>,
+    options: NodeOptions,
 }
 
 /// Runs a scenario with a seed.
 pub fn run(scenario: &Scenario, seed: u64) -> Report {
-    let mut simulation = Simulation::new(scenario, seed);
+    run_with_options(scenario, seed, NodeOptions::default())
+}
+
+/// Runs a scenario with a seed and with nodes that differ from those of its deployment.
+pub fn run_with_options(scenario: &Scenario, seed: u64, options: NodeOptions) -> Report {
+    let mut simulation = Simulation::new(scenario, seed, options);
     simulation.begin();
     let end = BEGIN + micros(scenario.length) + MAX_TAIL;
     while let Some((at, event)) = simulation.queue.pop() {
@@ -111,11 +117,13 @@
         simulation.events += 1;
         simulation.handle(event);
     }
+    // Whatever is open and has no event left is never answered.
+    simulation.now = end;
     simulation.report(seed)
 }
 
 impl<'a> Simulation<'a> {
-    fn new(scenario: &'a Scenario, seed: u64) -> Self {
+    fn new(scenario: &'a Scenario, seed: u64, options: NodeOptions) -> Self {
         let servers = servers::initial_servers(scenario);
         let list = EndpointList::new(deployment::endpoint_list(scenario), servers.keys().copied());
         Simulation {
@@ -132,9 +140,9 @@
             origin: deployment::origin(scenario, BEGIN),
             origin_generation: 0,
             list,
-            starts_known: BTreeMap::new(),
             invariants: deployment::invariants(scenario, 0),
             attempts_by_server: BTreeMap::new(),
+            options,
             scenario,
         }
     }
@@ -150,6 +158,10 @@
         self.schedule_next_arrival();
     }
 
+    fn has_defect(&self, defect: Defect) -> bool {
+        self.options.defect == Some(defect)
+    }
+
     fn schedule(&mut self, at: Micros, event: Event) {
         self.queue.schedule(at.max(self.now), event);
     }
--- a/crates/testbed/src/virtual_time/nodes.rs
+++ b/crates/testbed/src/virtual_time/nodes.rs
@@ -5,8 +5,9 @@
 
 use cluster_model::Micros;
 use cluster_model::endpoint_list::{EndpointRecord, NodeId};
+use cluster_model::machine::JobId;
 use cluster_model::network::Zone;
-use routing_policy::{Action, Event as PolicyEvent, Policy, RequestId, ServerId};
+use routing_policy::{Action, AttemptStatus, Event as PolicyEvent, Policy, RequestId, ServerId};
 
 /// Id of the first request of an incarnation.
 const FIRST_REQUEST: RequestId = 1;
@@ -17,6 +18,8 @@
     pub(super) client: u64,
     /// In microseconds.
     pub(super) deadline: Micros,
+    /// Time from its arrival to its deadline, in microseconds.
+    pub(super) whole_time: Micros,
     /// Attempts sent so far.
     pub(super) attempts_sent: u16,
     /// Attempts without an outcome so far.
@@ -28,10 +31,11 @@
 }
 
 impl OpenRequest {
-    pub(super) fn new(client: u64, deadline: Micros) -> Self {
+    pub(super) fn new(client: u64, deadline: Micros, whole_time: Micros) -> Self {
         OpenRequest {
             client,
             deadline,
+            whole_time,
             attempts_sent: 0,
             in_flight: 0,
             complete: false,
@@ -40,6 +44,30 @@
     }
 }
 
+/// An outcome that has reached a paused node.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct DeferredOutcome {
+    pub(super) job: JobId,
+    pub(super) status: AttemptStatus,
+}
+
+/// What waits while a node is paused, in the order of arrival.
+#[derive(Default)]
+pub(super) struct Deferred {
+    /// For its policy.
+    pub(super) events: Vec<PolicyEvent>,
+    pub(super) outcomes: Vec<DeferredOutcome>,
+}
+
+/// When a node that was told to shut down has to be done, in microseconds.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Shutdown {
+    /// It gives the answers that are left by then.
+    pub(super) answer_by: Micros,
+    /// The platform kills it then.
+    pub(super) killed_at: Micros,
+}
+
 /// A node, over all its incarnations.
 pub(super) struct Node {
     policy: Policy,
@@ -51,8 +79,10 @@
     pub(super) open: BTreeMap<RequestId, OpenRequest>,
     /// Number of pauses that have not ended.
     pauses: u32,
-    /// Events that wait for its policy while it is paused.
-    deferred: Vec<PolicyEvent>,
+    /// What waits while it is paused.
+    deferred: Deferred,
+    /// Once it was told to shut down.
+    shutdown: Option<Shutdown>,
     /// Its copy of the endpoint list.
     pub(super) endpoints: BTreeMap<ServerId, EndpointRecord>,
     /// Version of that copy.
@@ -75,7 +105,8 @@
             next_request: FIRST_REQUEST,
             open: BTreeMap::new(),
             pauses: 0,
-            deferred: Vec::new(),
+            deferred: Deferred::default(),
+            shutdown: None,
             endpoints,
             list_version,
         }
@@ -106,31 +137,58 @@
     pub(super) fn handle(&mut self, now: Micros, event: PolicyEvent) -> Vec<Action> {
         let mut actions = Vec::new();
         if self.pauses > 0 {
-            self.deferred.push(event);
+            self.deferred.events.push(event);
         } else {
             self.policy.handle(now, event, &mut actions);
         }
         actions
     }
 
+    pub(super) fn is_paused(&self) -> bool {
+        self.pauses > 0
+    }
+
     /// Pauses the node once more.
     pub(super) fn pause(&mut self) {
         self.pauses += 1;
     }
 
-    /// Ends one pause. If it was the last, the node resumes: the events that waited are returned.
-    pub(super) fn resume(&mut self) -> Vec<PolicyEvent> {
+    /// An outcome of an attempt waits until the node resumes.
+    pub(super) fn defer_outcome(&mut self, outcome: DeferredOutcome) {
+        self.deferred.outcomes.push(outcome);
+    }
+
+    /// Ends one pause. If it was the last, the node resumes: what waited is returned.
+    pub(super) fn resume(&mut self) -> Deferred {
         self.pauses = self.pauses.saturating_sub(1);
         if self.pauses > 0 {
-            return Vec::new();
+            return Deferred::default();
         }
         std::mem::take(&mut self.deferred)
     }
 
+    /// It is told to shut down, unless it was before.
+    pub(super) fn begin_shutdown(&mut self, shutdown: Shutdown) {
+        self.shutdown.get_or_insert(shutdown);
+    }
+
+    pub(super) fn shutdown(&self) -> Option<Shutdown> {
+        self.shutdown
+    }
+
+    /// The requests that have no final answer yet.
+    pub(super) fn unanswered(&self) -> Vec<RequestId> {
+        let open = self.open.iter();
+        open.filter(|(_, request)| !request.complete)
+            .map(|(id, _)| *id)
+            .collect()
+    }
+
     /// Its process ends. Returns the requests that it had.
     pub(super) fn stop(&mut self) -> BTreeMap<RequestId, OpenRequest> {
         self.running = false;
         self.incarnation += 1;
+        self.shutdown = None;
         std::mem::take(&mut self.open)
     }
 
@@ -140,7 +198,7 @@
         self.running = true;
         self.next_request = FIRST_REQUEST;
         self.pauses = 0;
-        self.deferred.clear();
+        self.deferred = Deferred::default();
     }
 }
 
--- a/crates/testbed/src/virtual_time/policy_driver.rs
+++ b/crates/testbed/src/virtual_time/policy_driver.rs
@@ -6,7 +6,7 @@
 use super::clients::CLIENT_DELAY;
 use super::lifecycle::NodeEvent;
 use super::nodes::OpenRequest;
-use super::{Event, Simulation};
+use super::{Defect, Event, Simulation};
 use crate::clients::Reply;
 
 impl Simulation<'_> {
@@ -54,10 +54,11 @@
 
     /// A node gives its final answer to a request, unless it has done so before.
     pub(super) fn answer(&mut self, node: NodeId, request: RequestId, reply: Reply) {
+        let withheld = self.has_defect(Defect::AnswersOnlyWithValues) && reply != Reply::Served;
         let Some(open) = self.nodes[node].open.get_mut(&request) else {
             return;
         };
-        if open.complete {
+        if open.complete || withheld {
             return;
         }
         open.complete = true;
