--- /dev/null
+++ b/crates/cache-router/src/client_connection/close.rs
@@ -0,0 +1,89 @@
+//! How the connection of a client ends: by the client, or by the router in order.
+
+use std::ops::ControlFlow;
+use std::time::Duration;
+
+use tokio::io::{AsyncReadExt, AsyncWriteExt, Interest};
+
+use super::ClientConnection;
+use crate::lifecycle::LifecyclePhase;
+use crate::message::RouterEvent;
+
+/// How long input is read and discarded after the router has closed its side: closing a socket with unread input resets
+/// the connection, which can take the last reply away from the client. After an error the client may be sending still.
+pub const LINGER_AFTER_ERROR: Duration = Duration::from_millis(500);
+/// The same for a connection that was idle: what crossed the close has arrived soon, and a new client, or the router's
+/// end, waits for the slot.
+pub const LINGER_WHEN_IDLE: Duration = Duration::from_millis(100);
+/// The most reads while lingering, against a client that never stops sending.
+const MAX_LINGER_READS: usize = 256;
+/// Bytes of each of these reads at most.
+const LINGER_READ_BYTES: usize = 4096;
+
+/// Why a connection ends.
+pub(super) enum ConnectionEnd {
+    /// The client has closed it, or takes no replies.
+    ByClient,
+    /// The router closes it: between requests, or after input that is not a command.
+    ByRouter,
+}
+
+impl ClientConnection {
+    /// Closes the connection, unless a command has arrived.
+    pub(super) async fn close_if_idle(
+        &mut self,
+        phase: LifecyclePhase,
+    ) -> ControlFlow<ConnectionEnd> {
+        // What the kernel has received by now is still served: the runtime looks for it once more.
+        tokio::task::yield_now().await;
+        if self.read(phase).is_err() {
+            return ControlFlow::Break(ConnectionEnd::ByClient);
+        }
+        if !self.input.is_empty() {
+            return ControlFlow::Continue(());
+        }
+        if let Some(idle_guard) = self.idle_guard.take() {
+            idle_guard.close();
+        }
+        ControlFlow::Break(ConnectionEnd::ByRouter)
+    }
+
+    /// Whether a client of which nothing is read has closed its connection behind its unread input.
+    pub(super) async fn is_closed_behind_input(&self) -> bool {
+        tokio::select! {
+            biased;
+            ready = self.stream.ready(Interest::READABLE) => {
+                ready.map_or(true, |ready| ready.is_read_closed())
+            }
+            () = std::future::ready(()) => false,
+        }
+    }
+
+    /// Tells the event loop that the client is gone.
+    pub(super) async fn report_disconnect(&mut self) {
+        // First: whoever is about to send for this client sees it at once, whatever is queued before the event.
+        self.reply_receiver.close();
+        let event = RouterEvent::ClientDisconnected(self.client);
+        let _ = self.context.events.send(event).await;
+    }
+
+    /// Ends the connection in order: the last reply goes out completely, and then its end. What arrives meanwhile is
+    /// discarded.
+    pub(super) async fn linger(&mut self) {
+        let timeout = if self.input.is_ignored() {
+            LINGER_AFTER_ERROR
+        } else {
+            LINGER_WHEN_IDLE
+        };
+        let _ = self.stream.shutdown().await;
+        let discard = async {
+            let mut buffer = [0u8; LINGER_READ_BYTES];
+            for _ in 0..MAX_LINGER_READS {
+                if !matches!(self.stream.read(&mut buffer).await, Ok(count) if count > 0) {
+                    return;
+                }
+            }
+        };
+        let _ = tokio::time::timeout(timeout, discard).await;
+    }
+}
--- /dev/null
+++ b/crates/cache-router/src/client_connection/commands.rs
@@ -0,0 +1,72 @@
+//! The commands of a client: each is answered at once, or handed to the event loop, which answers it later.
+
+use bytes::Bytes;
+use routing_policy::Micros;
+
+use super::ClientConnection;
+use super::input::ReceivedCommand;
+use crate::client_command::{self, Command};
+use crate::lifecycle::LifecyclePhase;
+use crate::message::{ClientCommand, ClientRequest, RouterEvent};
+
+const PONG_REPLY: &[u8] = b"+PONG\r\n";
+const LOADING_REPLY: &[u8] = b"-LOADING no list of servers yet\r\n";
+const BUSY_REPLY: &[u8] = b"-BUSY\r\n";
+
+impl ClientConnection {
+    /// Takes the commands that are complete.
+    pub(super) async fn take_commands(&mut self, phase: LifecyclePhase) {
+        while self.can_take_commands(phase) {
+            match self.input.take_command() {
+                Ok(Some(ReceivedCommand { words, arrived_at })) => {
+                    let received_at = arrived_at.unwrap_or_else(|| self.context.clock.now());
+                    self.handle_command(&words, received_at).await;
+                }
+                Ok(None) => break,
+                Err(error) => {
+                    let reply = format!("-ERR protocol error: {error}\r\n");
+                    self.replies.push_ready(reply);
+                }
+            }
+        }
+    }
+
+    async fn handle_command(&mut self, words: &[Bytes], received_at: Micros) {
+        match client_command::parse(words, &self.context.deployment) {
+            Ok(Command::Ping) => {
+                let phase = *self.context.lifecycle.borrow();
+                let reply = match phase {
+                    LifecyclePhase::Starting => LOADING_REPLY,
+                    _ => PONG_REPLY,
+                };
+                self.replies.push_ready(reply);
+            }
+            Ok(Command::Request(command)) => self.handle_request(command, received_at).await,
+            Err(error) => self.replies.push_ready(format!("-ERR {error}\r\n")),
+        }
+    }
+
+    /// Hands a request to the event loop, unless there is no slot for it: it is rejected then without the policy, which
+    /// is harmless as it was never sent to a server.
+    async fn handle_request(&mut self, command: ClientCommand, received_at: Micros) {
+        if self.from_reserve && self.context.only_reserve_left() {
+            self.input.ignore();
+            self.replies.push_ready(BUSY_REPLY);
+            return;
+        }
+        self.from_reserve = false;
+        let Ok(permit) = self.context.request_slots.clone().try_acquire_owned() else {
+            self.replies.push_ready(BUSY_REPLY);
+            return;
+        };
+        let request = ClientRequest {
+            command,
+            received_at,
+            client: self.client,
+            sequence: self.replies.reserve(permit),
+            replies: self.reply_sender.clone(),
+        };
+        let event = RouterEvent::ClientRequest(Box::new(request));
+        let _ = self.context.events.send(event).await;
+    }
+}
--- /dev/null
+++ b/crates/cache-router/src/client_connection/input.rs
@@ -0,0 +1,120 @@
+//! The input of a client: what has been read of its socket, and the commands that are taken off it.
+
+use std::io::ErrorKind;
+
+use bytes::{Bytes, BytesMut};
+use routing_policy::Micros;
+use tokio::net::TcpStream;
+
+use super::Disconnected;
+use super::arrival_times::ArrivalTimes;
+use crate::clock::Clock;
+use crate::resp::{self, RespError};
+
+/// While no command is taken, this many bytes are read ahead all the same: behind them may be the client's close, and
+/// the time of a request counts from when it arrived.
+const READ_AHEAD_BYTES: usize = 16 * 1024;
+/// Of a client whose input is ignored this many bytes are read and discarded while it is still owed replies.
+const MAX_DISCARDED_BYTES: usize = 1024 * 1024;
+/// Free space in the input buffer before each read, in bytes.
+const READ_CAPACITY: usize = 4096;
+
+/// A command as it was received.
+pub struct ReceivedCommand {
+    /// Its words.
+    pub words: Vec<Bytes>,
+    /// When its last byte arrived, if that is known.
+    pub arrived_at: Option<Micros>,
+}
+
+/// The input of a client.
+#[derive(Default)]
+pub struct ClientInput {
+    buffer: BytesMut,
+    arrival_times: ArrivalTimes,
+    /// No further command is taken: what arrives is discarded.
+    is_ignored: bool,
+    /// Bytes that were discarded since.
+    discarded_bytes: usize,
+}
+
+impl ClientInput {
+    /// Whether nothing has been read that is not taken.
+    pub fn is_empty(&self) -> bool {
+        self.buffer.is_empty()
+    }
+
+    /// Whether what arrives is discarded.
+    pub fn is_ignored(&self) -> bool {
+        self.is_ignored
+    }
+
+    /// Discards from now on what arrives.
+    pub fn ignore(&mut self) {
+        self.is_ignored = true;
+    }
+
+    /// Whether more is read; `takes_commands` tells whether commands are taken.
+    pub fn can_read(&self, takes_commands: bool) -> bool {
+        if self.is_ignored {
+            return self.discarded_bytes < MAX_DISCARDED_BYTES;
+        }
+        takes_commands || self.buffer.len() < READ_AHEAD_BYTES
+    }
+
+    /// Reads what has arrived.
+    ///
+    /// # Errors
+    ///
+    /// If the client has closed its connection, whatever it had sent before: nobody waits for the replies.
+    pub fn read(
+        &mut self,
+        stream: &TcpStream,
+        clock: Clock,
+        takes_commands: bool,
+    ) -> Result<(), Disconnected> {
+        while self.can_read(takes_commands) {
+            self.buffer.reserve(READ_CAPACITY);
+            match stream.try_read_buf(&mut self.buffer) {
+                Ok(0) => return Err(Disconnected),
+                Ok(count) if self.is_ignored => {
+                    self.discarded_bytes += count;
+                    self.buffer.clear();
+                }
+                Ok(count) => {
+                    self.arrival_times.add(count, clock.now());
+                    // More than one command holds: the rest is read once this has been parsed.
+                    if self.buffer.len() > resp::MAX_COMMAND_BYTES {
+                        break;
+                    }
+                }
+                Err(error) if error.kind() == ErrorKind::WouldBlock => break,
+                Err(_) => return Err(Disconnected),
+            }
+        }
+        Ok(())
+    }
+
+    /// Takes the next command, if it is complete.
+    ///
+    /// # Errors
+    ///
+    /// If the input is not a command. Its framing is lost then: it is discarded, and so is all that follows.
+    pub fn take_command(&mut self) -> Result<Option<ReceivedCommand>, RespError> {
+        let length_before = self.buffer.len();
+        match resp::take_command(&mut self.buffer) {
+            Ok(Some(words)) => {
+                let taken = length_before - self.buffer.len();
+                let arrived_at = self.arrival_times.take(taken);
+                Ok(Some(ReceivedCommand { words, arrived_at }))
+            }
+            Ok(None) => Ok(None),
+            Err(error) => {
+                self.buffer = BytesMut::new();
+                self.arrival_times = ArrivalTimes::default();
+                self.ignore();
+                Err(error)
+            }
+        }
+    }
+}
