--- a/crates/cache-router/src/client_connection.rs
+++ b/crates/cache-router/src/client_connection.rs
@@ -7,15 +7,17 @@
 mod arrival_times;
 mod close;
 mod commands;
-mod input;
-mod output;
-mod reply_queue;
+pub mod input;
+pub mod local_failures;
+pub mod output;
+pub mod reply_queue;
 mod wait;
 
 use std::ops::ControlFlow;
 use std::sync::Arc;
 use std::time::Duration;
 
+use bytes::BytesMut;
 use tokio::net::TcpStream;
 use tokio::sync::{OwnedSemaphorePermit, mpsc};
 use tokio::time::Instant;
@@ -24,8 +26,10 @@
 use crate::idle_connections::IdleGuard;
 use crate::lifecycle::LifecyclePhase;
 use crate::message::{ClientId, ClientReply};
+use crate::socket::SocketStream;
 use close::ConnectionEnd;
 use input::ClientInput;
+use local_failures::Disconnected;
 use output::ClientOutput;
 use reply_queue::ReplyQueue;
 
@@ -47,8 +51,7 @@
     from_reserve: bool,
     _slot: OwnedSemaphorePermit,
 ) {
-    // Without it replies are only slower.
-    let _ = stream.set_nodelay(true);
+    let stream = SocketStream::new(stream);
     let mut connection = ClientConnection::new(stream, context, client, from_reserve);
     match connection.run().await {
         ConnectionEnd::ByClient => connection.report_disconnect().await,
@@ -56,11 +59,8 @@
     }
 }
 
-/// The client has closed the connection.
-struct Disconnected;
-
 struct ClientConnection {
-    stream: TcpStream,
+    stream: SocketStream,
     client: ClientId,
     context: Arc<ClientContext>,
     /// Cloned into each request.
@@ -81,7 +81,7 @@
 
 impl ClientConnection {
     fn new(
-        stream: TcpStream,
+        stream: SocketStream,
         context: Arc<ClientContext>,
         client: ClientId,
         from_reserve: bool,
@@ -97,7 +97,7 @@
             reply_receiver,
             input: ClientInput::default(),
             replies: ReplyQueue::default(),
-            output: ClientOutput::new(),
+            output: ClientOutput::default(),
             owes_command_since: Some(now),
             first_command_until: now + FIRST_COMMAND_GRACE,
             idle_guard: None,
@@ -124,7 +124,7 @@
                 return ConnectionEnd::ByRouter;
             }
             self.update_command_timeout();
-            match self.output.write(&self.stream) {
+            match self.output.write(|bytes| self.stream.try_write(bytes)) {
                 Ok(true) => continue,
                 Ok(false) => {}
                 Err(Disconnected) => return ConnectionEnd::ByClient,
@@ -144,8 +144,9 @@
     /// Reads what has arrived.
     fn read(&mut self, phase: LifecyclePhase) -> Result<(), Disconnected> {
         let takes_commands = self.can_take_commands(phase);
+        let try_read = |buffer: &mut BytesMut| self.stream.try_read_buf(buffer);
         self.input
-            .read(&self.stream, self.context.clock, takes_commands)
+            .read(try_read, self.context.clock, takes_commands)
     }
 
     /// Whether the client is owed a reply or a part of one.
--- a/crates/cache-router/src/client_connection/close.rs
+++ b/crates/cache-router/src/client_connection/close.rs
@@ -3,11 +3,15 @@
 use std::ops::ControlFlow;
 use std::time::Duration;
 
-use tokio::io::{AsyncReadExt, AsyncWriteExt, Interest};
+use bytes::BytesMut;
+use tokio::io::Interest;
 
 use super::ClientConnection;
 use crate::lifecycle::LifecyclePhase;
 use crate::message::RouterEvent;
+use crate::socket::SocketStream;
+use crate::socket::errors::{classify, is_not_ready};
+use crate::socket::stream::LOCAL_RETRY_PAUSE;
 
 /// How long input is read and discarded after the router has closed its side: closing a socket with unread input resets
 /// the connection, which can take the last reply away from the client. After an error the client may be sending still.
@@ -75,15 +79,27 @@
         } else {
             LINGER_WHEN_IDLE
         };
-        let _ = self.stream.shutdown().await;
-        let discard = async {
-            let mut buffer = [0u8; LINGER_READ_BYTES];
-            for _ in 0..MAX_LINGER_READS {
-                if !matches!(self.stream.read(&mut buffer).await, Ok(count) if count > 0) {
-                    return;
-                }
+        // A connection that the client has ended already needs no end.
+        let _ = self.stream.shutdown_write();
+        let _ = tokio::time::timeout(timeout, discard_input(&self.stream)).await;
+    }
+}
+
+/// Reads and discards what arrives, until the client has closed its side.
+async fn discard_input(stream: &SocketStream) {
+    let mut buffer = BytesMut::with_capacity(LINGER_READ_BYTES);
+    for _ in 0..MAX_LINGER_READS {
+        if stream.readable().await.is_err() {
+            return;
+        }
+        match stream.try_read_buf(&mut buffer) {
+            Ok(0) => return,
+            Ok(_) => buffer.clear(),
+            Err(error) if is_not_ready(&error) => {}
+            Err(error) if classify(&error).is_transient() => {
+                tokio::time::sleep(LOCAL_RETRY_PAUSE).await;
             }
-        };
-        let _ = tokio::time::timeout(timeout, discard).await;
+            Err(_) => return,
+        }
     }
 }
--- a/crates/cache-router/src/client_connection/input.rs
+++ b/crates/cache-router/src/client_connection/input.rs
@@ -1,15 +1,15 @@
 //! The input of a client: what has been read of its socket, and the commands that are taken off it.
 
-use std::io::ErrorKind;
+use std::io;
 
 use bytes::{Bytes, BytesMut};
 use routing_policy::Micros;
-use tokio::net::TcpStream;
 
-use super::Disconnected;
 use super::arrival_times::ArrivalTimes;
+use super::local_failures::{Disconnected, LocalFailures};
 use crate::clock::Clock;
 use crate::resp::{self, RespError};
+use crate::socket::errors::is_not_ready;
 
 /// While no command is taken, this many bytes are read ahead all the same: behind them may be the client's close, and
 /// the time of a request counts from when it arrived.
@@ -36,6 +36,7 @@
     is_ignored: bool,
     /// Bytes that were discarded since.
     discarded_bytes: usize,
+    failures: LocalFailures,
 }
 
 impl ClientInput {
@@ -62,20 +63,32 @@
         takes_commands || self.buffer.len() < READ_AHEAD_BYTES
     }
 
-    /// Reads what has arrived.
+    /// Reads that failed for want of something on this machine.
+    pub fn failures(&self) -> &LocalFailures {
+        &self.failures
+    }
+
+    /// Reads what has arrived, with `try_read` for the call on the socket, unless the next read has to wait.
     ///
     /// # Errors
     ///
     /// If the client has closed its connection, whatever it had sent before: nobody waits for the replies.
     pub fn read(
         &mut self,
-        stream: &TcpStream,
+        try_read: impl Fn(&mut BytesMut) -> io::Result<usize>,
         clock: Clock,
         takes_commands: bool,
     ) -> Result<(), Disconnected> {
+        if self.failures.is_paused() {
+            return Ok(());
+        }
         while self.can_read(takes_commands) {
             self.buffer.reserve(READ_CAPACITY);
-            match stream.try_read_buf(&mut self.buffer) {
+            let result = try_read(&mut self.buffer);
+            if result.is_ok() {
+                self.failures.succeeded();
+            }
+            match result {
                 Ok(0) => return Err(Disconnected),
                 Ok(count) if self.is_ignored => {
                     self.discarded_bytes += count;
@@ -88,8 +101,11 @@
                         break;
                     }
                 }
-                Err(error) if error.kind() == ErrorKind::WouldBlock => break,
-                Err(_) => return Err(Disconnected),
+                Err(error) if is_not_ready(&error) => {
+                    self.failures.succeeded();
+                    break;
+                }
+                Err(error) => return self.failures.failed(&error),
             }
         }
         Ok(())
--- a/crates/cache-router/src/client_connection/output.rs
+++ b/crates/cache-router/src/client_connection/output.rs
@@ -1,14 +1,14 @@
 //! The output of a client: replies that are not written to its socket yet.
 
-use std::io::ErrorKind;
+use std::io;
 use std::time::Duration;
 
 use bytes::BytesMut;
-use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use super::Disconnected;
+use super::local_failures::{Disconnected, LocalFailures};
 use super::reply_queue::ReplyQueue;
+use crate::socket::errors::is_not_ready;
 
 /// While this many bytes wait to be written to a client, no further command of it is taken.
 const MAX_OUTPUT_BYTES: usize = 64 * 1024;
@@ -20,17 +20,20 @@
     buffer: BytesMut,
     /// When the client last took something of the output, or there was none.
     progress_at: Instant,
+    failures: LocalFailures,
 }
 
-impl ClientOutput {
-    /// Without replies.
-    pub fn new() -> Self {
+impl Default for ClientOutput {
+    fn default() -> Self {
         ClientOutput {
             buffer: BytesMut::new(),
             progress_at: Instant::now(),
+            failures: LocalFailures::default(),
         }
     }
+}
 
+impl ClientOutput {
     /// Whether all is written.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
@@ -55,26 +58,42 @@
         }
     }
 
-    /// Writes what the kernel takes; `true` if it took something.
+    /// Writes that failed for want of something on this machine.
+    pub fn failures(&self) -> &LocalFailures {
+        &self.failures
+    }
+
+    /// Writes what the kernel takes, with `try_write` for the call on the socket, unless the next write has to wait;
+    /// `true` if it took something.
     ///
     /// # Errors
     ///
     /// If the connection is lost.
-    pub fn write(&mut self, stream: &TcpStream) -> Result<bool, Disconnected> {
+    pub fn write(
+        &mut self,
+        try_write: impl FnOnce(&[u8]) -> io::Result<usize>,
+    ) -> Result<bool, Disconnected> {
         if self.buffer.is_empty() {
             // Gives back the memory that a large reply took.
             self.buffer = BytesMut::new();
             self.progress_at = Instant::now();
             return Ok(false);
         }
-        match stream.try_write(&self.buffer) {
+        if self.failures.is_paused() {
+            return Ok(false);
+        }
+        match try_write(&self.buffer) {
             Ok(count) => {
                 let _ = self.buffer.split_to(count);
                 self.progress_at = Instant::now();
+                self.failures.succeeded();
                 Ok(true)
             }
-            Err(error) if error.kind() == ErrorKind::WouldBlock => Ok(false),
-            Err(_) => Err(Disconnected),
+            Err(error) if is_not_ready(&error) => {
+                self.failures.succeeded();
+                Ok(false)
+            }
+            Err(error) => self.failures.failed(&error).map(|()| false),
         }
     }
 }
--- a/crates/cache-router/src/client_connection/wait.rs
+++ b/crates/cache-router/src/client_connection/wait.rs
@@ -27,6 +27,10 @@
     Readable(io::Result<()>),
     /// The kernel may take more of the output, or the socket has failed.
     Writable(io::Result<()>),
+    /// A read that failed for want of something on this machine is made again.
+    ReadRetryDue,
+    /// The same of a write.
+    WriteRetryDue,
     /// The phase of the router's life has changed.
     PhaseChanged,
     /// The router shuts down, and the first command has not come in time.
@@ -52,6 +56,8 @@
         is_reading: bool,
     ) -> WakeUp {
         let has_output = !self.output.is_empty();
+        let read_retry_at = self.input.failures().retry_at().filter(|_| is_reading);
+        let write_retry_at = self.output.failures().retry_at().filter(|_| has_output);
         let is_idle = self.idle_guard.is_some();
         let is_shutting_down = phase.is_shutting_down();
         let awaits_first_command = self.is_between_requests() && self.replies.is_unused();
@@ -59,8 +65,14 @@
         tokio::select! {
             biased;
             reply = self.reply_receiver.recv() => WakeUp::Reply(reply),
-            ready = self.stream.readable(), if is_reading => WakeUp::Readable(ready),
-            ready = self.stream.writable(), if has_output => WakeUp::Writable(ready),
+            ready = self.stream.readable(), if is_reading && read_retry_at.is_none() => {
+                WakeUp::Readable(ready)
+            }
+            ready = self.stream.writable(), if has_output && write_retry_at.is_none() => {
+                WakeUp::Writable(ready)
+            }
+            () = sleep_until(read_retry_at), if read_retry_at.is_some() => WakeUp::ReadRetryDue,
+            () = sleep_until(write_retry_at), if write_retry_at.is_some() => WakeUp::WriteRetryDue,
             Ok(()) = lifecycle.changed() => WakeUp::PhaseChanged,
             () = tokio::time::sleep_until(self.first_command_until),
                 if is_shutting_down && awaits_first_command => WakeUp::FirstCommandOverdue,
@@ -69,8 +81,9 @@
             () = tokio::time::sleep_until(self.output.stalled_at()),
                 if has_output => WakeUp::OutputStalled,
             () = tokio::time::sleep(CLOSE_CHECK_INTERVAL), if !is_reading => WakeUp::CloseCheckDue,
-            () = async { tokio::time::sleep_until(command_deadline.unwrap_or_else(Instant::now)).await },
-                if command_deadline.is_some() => WakeUp::CommandOverdue,
+            () = sleep_until(command_deadline), if command_deadline.is_some() => {
+                WakeUp::CommandOverdue
+            }
         }
     }
 
@@ -83,8 +96,12 @@
         match wake_up {
             WakeUp::Reply(reply) => self.handle_reply(reply),
             WakeUp::Readable(ready) => self.handle_readable(&ready, phase),
+            WakeUp::ReadRetryDue => self.handle_readable(&Ok(()), phase),
             WakeUp::Writable(ready) => handle_writable(&ready),
-            WakeUp::PhaseChanged | WakeUp::CloseCheckDue => ControlFlow::Continue(()),
+            // The output is written with the next look at the buffers.
+            WakeUp::PhaseChanged | WakeUp::CloseCheckDue | WakeUp::WriteRetryDue => {
+                ControlFlow::Continue(())
+            }
             WakeUp::FirstCommandOverdue | WakeUp::IdleInShutdown | WakeUp::CloseRequested => {
                 self.close_if_idle(phase).await
             }
@@ -120,6 +137,14 @@
     }
 }
 
+/// Waits until a time; for ever if there is none.
+async fn sleep_until(time: Option<Instant>) {
+    match time {
+        Some(time) => tokio::time::sleep_until(time).await,
+        None => std::future::pending().await,
+    }
+}
+
 /// Waits until an idle connection is asked to close.
 async fn close_requested(idle_guard: &mut Option<IdleGuard>) {
     if let Some(idle_guard) = idle_guard {
--- /dev/null
+++ b/crates/cache-router/tests/client_connection/failing_calls.rs
@@ -0,0 +1,113 @@
+//! Calls on a client's socket that fail for want of something on this machine, are interrupted, or lose the connection.
+
+use std::cell::RefCell;
+use std::collections::VecDeque;
+use std::io;
+use std::time::Duration;
+
+use bytes::{BufMut, BytesMut};
+use cache_router::client_connection::input::ClientInput;
+use cache_router::client_connection::local_failures::Disconnected;
+use cache_router::client_connection::output::ClientOutput;
+use cache_router::client_connection::reply_queue::ReplyQueue;
+use cache_router::clock::Clock;
+use cache_router::socket::stream::{LOCAL_FAILURE_TIMEOUT, LOCAL_RETRY_PAUSE};
+
+use crate::support::{PING, VALUE_REPLY};
+
+/// What this machine may lack for a moment.
+const LOCAL_ERRORS: [i32; 2] = [libc::ENOBUFS, libc::ENOMEM];
+
+/// The results of calls, in their order; later ones would block.
+struct Script(RefCell<VecDeque<Result<usize, i32>>>);
+
+impl Script {
+    fn new(results: impl IntoIterator<Item = Result<usize, i32>>) -> Self {
+        Script(RefCell::new(results.into_iter().collect()))
+    }
+
+    fn next(&self) -> io::Result<usize> {
+        let next = self.0.borrow_mut().pop_front();
+        next.unwrap_or(Err(libc::EAGAIN))
+            .map_err(io::Error::from_raw_os_error)
+    }
+}
+
+/// Reads what comes; the script gives how many bytes of a `PING` each call brings.
+fn read(input: &mut ClientInput, script: &Script) -> Result<(), Disconnected> {
+    let try_read = |buffer: &mut BytesMut| {
+        let count = script.next()?;
+        let rest_of_command = &PING[buffer.len() % PING.len()..];
+        buffer.put_slice(&rest_of_command[..count]);
+        Ok(count)
+    };
+    input.read(try_read, Clock::start(), true)
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_read_that_this_machine_fails_is_made_again_after_a_pause_and_loses_no_byte() {
+    for errno in LOCAL_ERRORS {
+        let script = Script::new([Ok(5), Err(errno), Ok(PING.len() - 5)]);
+        let mut input = ClientInput::default();
+        assert_eq!(read(&mut input, &script), Ok(()));
+        assert!(input.failures().is_paused(), "{errno}");
+        assert_eq!(read(&mut input, &script), Ok(()));
+        assert!(input.take_command().unwrap().is_none(), "not read yet");
+        tokio::time::sleep(LOCAL_RETRY_PAUSE).await;
+        assert_eq!(read(&mut input, &script), Ok(()));
+        assert!(!input.failures().is_paused());
+        assert_eq!(input.take_command().unwrap().unwrap().words[0], "PING");
+    }
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_write_that_this_machine_fails_is_made_again_after_a_pause_and_loses_no_byte() {
+    for errno in LOCAL_ERRORS {
+        let mut replies = ReplyQueue::default();
+        replies.push_ready(VALUE_REPLY);
+        let mut output = ClientOutput::default();
+        output.take_ready(&mut replies);
+        let script = Script::new([Ok(2), Err(errno), Ok(5)]);
+        let written = RefCell::new(Vec::new());
+        let try_write = |bytes: &[u8]| {
+            let count = script.next()?;
+            written.borrow_mut().extend_from_slice(&bytes[..count]);
+            Ok(count)
+        };
+        assert_eq!(output.write(try_write), Ok(true));
+        assert_eq!(output.write(try_write), Ok(false), "{errno}");
+        assert_eq!(output.write(try_write), Ok(false), "it waits");
+        tokio::time::sleep(LOCAL_RETRY_PAUSE).await;
+        assert_eq!(output.write(try_write), Ok(true));
+        assert_eq!(written.take(), VALUE_REPLY);
+    }
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_failure_of_this_machine_ends_the_client_only_when_it_lasts() {
+    let script = Script::new(std::iter::repeat_n(Err(libc::ENOBUFS), 10_000));
+    let mut input = ClientInput::default();
+    let mut lasted = Duration::ZERO;
+    while read(&mut input, &script).is_ok() {
+        tokio::time::sleep(LOCAL_RETRY_PAUSE).await;
+        lasted += LOCAL_RETRY_PAUSE;
+    }
+    assert!(lasted >= LOCAL_FAILURE_TIMEOUT && lasted < LOCAL_FAILURE_TIMEOUT * 2);
+    // One that has succeeded in between is a new one.
+    let once_a_while = (0..1_000).flat_map(|_| [Err(libc::ENOBUFS), Ok(1)]);
+    let script = Script::new(once_a_while);
+    let mut input = ClientInput::default();
+    for _ in 0..500 {
+        assert_eq!(read(&mut input, &script), Ok(()));
+        tokio::time::sleep(LOCAL_RETRY_PAUSE).await;
+    }
+}
+
+#[test]
+fn a_lost_connection_ends_the_client_at_once() {
+    for errno in [libc::ECONNRESET, libc::EPIPE, libc::ETIMEDOUT, libc::EBADF] {
+        let script = Script::new([Err(errno)]);
+        let read = read(&mut ClientInput::default(), &script);
+        assert_eq!(read, Err(Disconnected), "{errno}");
+    }
+}
--- a/crates/cache-router/tests/client_connection/main.rs
+++ b/crates/cache-router/tests/client_connection/main.rs
@@ -9,5 +9,6 @@
 mod closes;
 mod command_timeout;
 mod disconnects;
+mod failing_calls;
 mod requests;
 mod support;
