--- a/crates/cache-router/src/client_connection.rs
+++ b/crates/cache-router/src/client_connection.rs
@@ -38,6 +38,10 @@
 
 /// Requests of one connection that are served at the same time; more wait until one of them is answered.
 pub const MAX_PIPELINED: usize = 64;
+/// A new client that has sent no complete command for this long is cut off, and so is one that has left a command
+/// incomplete, however slowly its bytes come: it holds one of few slots. A silent peer has to be closed within 3 s; the
+/// time that it may have waited to be accepted is left off.
+pub const COMMAND_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// A router that shuts down closes a connection between requests, a new one only after this: its first request is on
 /// its way, and closed without a reply it would count as rejected.
 pub const FIRST_COMMAND_GRACE: Duration = Duration::from_millis(250);
@@ -69,8 +73,8 @@
     input: ClientInput,
     replies: ReplyQueue,
     output: ClientOutput,
-    /// Since when the client has owed a complete command; `None` while it owes none.
-    owes_command_since: Option<Instant>,
+    /// When it was opened.
+    opened_at: Instant,
     /// Until when a router that shuts down waits for the first command.
     first_command_until: Instant,
     /// Held while the connection is idle.
@@ -98,7 +102,7 @@
             input: ClientInput::default(),
             replies: ReplyQueue::default(),
             output: ClientOutput::default(),
-            owes_command_since: Some(now),
+            opened_at: now,
             first_command_until: now + FIRST_COMMAND_GRACE,
             idle_guard: None,
             from_reserve,
@@ -123,7 +127,6 @@
             if self.is_finished(phase) {
                 return ConnectionEnd::ByRouter;
             }
-            self.update_command_timeout();
             match self.output.write(|bytes| self.stream.try_write(bytes)) {
                 Ok(true) => continue,
                 Ok(false) => {}
@@ -173,14 +176,15 @@
             && !self.output.is_full()
     }
 
-    /// Begins or ends the time within which the client has to complete a command.
-    fn update_command_timeout(&mut self) {
-        let has_begun = self.replies.is_unused() || !self.input.is_empty();
-        if !self.owes_reply() && has_begun {
-            self.owes_command_since.get_or_insert_with(Instant::now);
-        } else {
-            self.owes_command_since = None;
-        }
+    /// When the client has to have completed a command; `None` while it owes none. What it is owed itself makes no
+    /// difference.
+    fn command_deadline(&self) -> Option<Instant> {
+        let awaits_first_command = self.replies.is_unused() && self.replies.is_empty();
+        let owes_since = match awaits_first_command {
+            true => Some(self.opened_at),
+            false => self.input.incomplete_since(),
+        };
+        owes_since.map(|since| since + COMMAND_TIMEOUT)
     }
 
     /// Registers the connection as idle, or no longer.
--- a/crates/cache-router/src/client_connection/close.rs
+++ b/crates/cache-router/src/client_connection/close.rs
@@ -5,8 +5,10 @@
 
 use bytes::BytesMut;
 use tokio::io::Interest;
+use tokio::time::Instant;
 
 use super::ClientConnection;
+use super::local_failures::Disconnected;
 use crate::lifecycle::LifecyclePhase;
 use crate::message::RouterEvent;
 use crate::socket::SocketStream;
@@ -38,9 +40,7 @@
         &mut self,
         phase: LifecyclePhase,
     ) -> ControlFlow<ConnectionEnd> {
-        // What the kernel has received by now is still served: the runtime looks for it once more.
-        tokio::task::yield_now().await;
-        if self.read(phase).is_err() {
+        if self.look_for_input(phase).await.is_err() {
             return ControlFlow::Break(ConnectionEnd::ByClient);
         }
         if !self.input.is_empty() {
@@ -52,6 +52,31 @@
         ControlFlow::Break(ConnectionEnd::ByRouter)
     }
 
+    /// Closes the connection of a client that owes a complete command, unless it has arrived. An incomplete one is
+    /// answered, behind all that the client is owed; a client that has sent nothing has nothing to be answered.
+    pub(super) async fn handle_overdue_command(
+        &mut self,
+        phase: LifecyclePhase,
+    ) -> ControlFlow<ConnectionEnd> {
+        if self.look_for_input(phase).await.is_err() {
+            return ControlFlow::Break(ConnectionEnd::ByClient);
+        }
+        self.take_commands(phase).await;
+        let is_overdue = self
+            .command_deadline()
+            .is_some_and(|deadline| deadline <= Instant::now());
+        if is_overdue && !self.reject_incomplete_command() {
+            return ControlFlow::Break(ConnectionEnd::ByRouter);
+        }
+        ControlFlow::Continue(())
+    }
+
+    /// Reads what the kernel has received by now, of which the runtime may not know yet.
+    async fn look_for_input(&mut self, phase: LifecyclePhase) -> Result<(), Disconnected> {
+        tokio::task::yield_now().await;
+        self.read(phase)
+    }
+
     /// Whether a client of which nothing is read has closed its connection behind its unread input.
     pub(super) async fn is_closed_behind_input(&self) -> bool {
         tokio::select! {
--- a/crates/cache-router/src/client_connection/commands.rs
+++ b/crates/cache-router/src/client_connection/commands.rs
@@ -12,6 +12,8 @@
 const PONG_REPLY: &[u8] = b"+PONG\r\n";
 const LOADING_REPLY: &[u8] = b"-LOADING no list of servers yet\r\n";
 const BUSY_REPLY: &[u8] = b"-BUSY\r\n";
+/// The reply to a command whose rest does not come. The client may be sending it still, and takes this for the answer.
+const INCOMPLETE_REPLY: &[u8] = b"-ERR command not complete in time\r\n";
 
 impl ClientConnection {
     /// Takes the commands that are complete.
@@ -31,6 +33,16 @@
         }
     }
 
+    /// Answers the command that the client has left incomplete; all input behind it is lost. `false` if there is none.
+    pub(super) fn reject_incomplete_command(&mut self) -> bool {
+        let is_incomplete = self.input.incomplete_since().is_some();
+        if is_incomplete {
+            self.input.ignore();
+            self.replies.push_ready(INCOMPLETE_REPLY);
+        }
+        is_incomplete
+    }
+
     async fn handle_command(&mut self, words: &[Bytes], received_at: Micros) {
         match client_command::parse(words, &self.context.deployment) {
             Ok(Command::Ping) => {
--- a/crates/cache-router/src/client_connection/input.rs
+++ b/crates/cache-router/src/client_connection/input.rs
@@ -4,6 +4,7 @@
 
 use bytes::{Bytes, BytesMut};
 use routing_policy::Micros;
+use tokio::time::Instant;
 
 use super::arrival_times::ArrivalTimes;
 use super::local_failures::{Disconnected, LocalFailures};
@@ -32,6 +33,10 @@
 pub struct ClientInput {
     buffer: BytesMut,
     arrival_times: ArrivalTimes,
+    /// When bytes last arrived.
+    last_read_at: Option<Instant>,
+    /// Since when the first command that is not taken is known to be incomplete.
+    incomplete_since: Option<Instant>,
     /// No further command is taken: what arrives is discarded.
     is_ignored: bool,
     /// Bytes that were discarded since.
@@ -50,11 +55,20 @@
         self.is_ignored
     }
 
-    /// Discards from now on what arrives.
+    /// Discards what has been read, and from now on what arrives.
     pub fn ignore(&mut self) {
+        self.buffer = BytesMut::new();
+        self.arrival_times = ArrivalTimes::default();
+        self.incomplete_since = None;
         self.is_ignored = true;
     }
 
+    /// Since when the client has left a command incomplete, whether or not more bytes of it come; `None` if it has not,
+    /// or while commands are not taken and the answer is not known.
+    pub fn incomplete_since(&self) -> Option<Instant> {
+        self.incomplete_since
+    }
+
     /// Whether more is read; `takes_commands` tells whether commands are taken.
     pub fn can_read(&self, takes_commands: bool) -> bool {
         if self.is_ignored {
@@ -96,6 +110,11 @@
                 }
                 Ok(count) => {
                     self.arrival_times.add(count, clock.now());
+                    self.last_read_at = Some(Instant::now());
+                    if !takes_commands {
+                        // These bytes may complete it.
+                        self.incomplete_since = None;
+                    }
                     // More than one command holds: the rest is read once this has been parsed.
                     if self.buffer.len() > resp::MAX_COMMAND_BYTES {
                         break;
@@ -122,12 +141,16 @@
             Ok(Some(words)) => {
                 let taken = length_before - self.buffer.len();
                 let arrived_at = self.arrival_times.take(taken);
+                self.incomplete_since = None;
                 Ok(Some(ReceivedCommand { words, arrived_at }))
             }
-            Ok(None) => Ok(None),
+            Ok(None) => {
+                if !self.buffer.is_empty() && self.incomplete_since.is_none() {
+                    self.incomplete_since = self.last_read_at;
+                }
+                Ok(None)
+            }
             Err(error) => {
-                self.buffer = BytesMut::new();
-                self.arrival_times = ArrivalTimes::default();
                 self.ignore();
                 Err(error)
             }
--- a/crates/cache-router/src/client_connection/wait.rs
+++ b/crates/cache-router/src/client_connection/wait.rs
@@ -14,11 +14,6 @@
 
 /// How often a connection that is not read from is checked for the client's close.
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(25);
-/// A new client that has sent no complete command for this long is cut off, and so is one that has left a command
-/// incomplete, however slowly its bytes come: it holds one of few slots. A silent peer has to be closed within 3 s; the
-/// time that it may have waited to be accepted is left off.
-const COMMAND_TIMEOUT: Duration = Duration::from_millis(2_500);
-
 /// Why a wait is over.
 pub(super) enum WakeUp {
     /// The event loop has sent a reply.
@@ -61,7 +56,7 @@
         let is_idle = self.idle_guard.is_some();
         let is_shutting_down = phase.is_shutting_down();
         let awaits_first_command = self.is_between_requests() && self.replies.is_unused();
-        let command_deadline = self.owes_command_since.map(|since| since + COMMAND_TIMEOUT);
+        let command_deadline = self.command_deadline();
         tokio::select! {
             biased;
             reply = self.reply_receiver.recv() => WakeUp::Reply(reply),
@@ -106,7 +101,7 @@
                 self.close_if_idle(phase).await
             }
             WakeUp::OutputStalled => ControlFlow::Break(ConnectionEnd::ByClient),
-            WakeUp::CommandOverdue => ControlFlow::Break(ConnectionEnd::ByRouter),
+            WakeUp::CommandOverdue => self.handle_overdue_command(phase).await,
         }
     }
 
--- a/crates/cache-router/tests/client_connection/command_timeout.rs
+++ b/crates/cache-router/tests/client_connection/command_timeout.rs
@@ -2,6 +2,7 @@
 
 use std::time::Duration;
 
+use cache_router::client_connection::COMMAND_TIMEOUT;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::Instant;
 
@@ -68,3 +69,43 @@
     client.read_exact(&mut answer).await.unwrap();
     assert_eq!(&answer, b"$1\r\nv\r\n");
 }
+
+#[tokio::test(start_paused = true)]
+async fn a_command_left_incomplete_behind_a_request_is_answered_as_soon_as_the_request_is() {
+    // Some of its bytes may come all the while, and it may be complete in the end.
+    for later in [&b""[..], &get(2)[9..12], &get(2)[9..]] {
+        let (mut client, mut surroundings) = connected().await;
+        client
+            .write_all(&[get(1), get(2)[..9].to_vec()].concat())
+            .await
+            .unwrap();
+        let request = surroundings.next_requests(1).await.remove(0);
+        tokio::time::sleep(CLOSE_WITHIN).await;
+        client.write_all(later).await.unwrap();
+        tokio::time::sleep(Duration::from_secs(4)).await;
+        reply(&request, VALUE_REPLY).await;
+        let answered_at = Instant::now();
+        let mut received = Vec::new();
+        client.read_to_end(&mut received).await.unwrap();
+        let received = String::from_utf8(received).unwrap();
+        assert_eq!(received, "$1\r\nv\r\n-ERR command not complete in time\r\n");
+        assert!(answered_at.elapsed() <= Duration::from_millis(100));
+        assert!(surroundings.events.try_recv().is_err(), "{later:?}");
+    }
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_command_that_the_kernel_received_before_its_time_was_over_is_served() {
+    let since = Instant::now();
+    let (mut client, mut surroundings) = connected().await;
+    client.write_all(&get(1)[..9]).await.unwrap();
+    tokio::time::sleep_until(since + COMMAND_TIMEOUT).await;
+    // At one moment, before the connection reads again; the command behind it has a time of its own.
+    let client = client.into_std().unwrap();
+    let rest = [&get(1)[9..], &get(2)[..9]].concat();
+    std::io::Write::write_all(&mut &client, &rest).unwrap();
+    surroundings.next_requests(1).await;
+    tokio::time::sleep(COMMAND_TIMEOUT / 2).await;
+    std::io::Write::write_all(&mut &client, &get(2)[9..]).unwrap();
+    surroundings.next_requests(1).await;
+}
