--- a/crates/cache-router/src/client_connection.rs
+++ b/crates/cache-router/src/client_connection.rs
@@ -28,7 +28,7 @@
 use crate::message::{ClientId, ClientReply};
 use crate::socket::SocketStream;
 use close::ConnectionEnd;
-use input::ClientInput;
+use input::{ClientInput, Intake};
 use local_failures::Disconnected;
 use output::ClientOutput;
 use reply_queue::ReplyQueue;
@@ -42,6 +42,9 @@
 /// incomplete, however slowly its bytes come: it holds one of few slots. A silent peer has to be closed within 3 s; the
 /// time that it may have waited to be accepted is left off.
 pub const COMMAND_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// A connection that is about to close reads commands for this long, to reject them. It has to leave most of the time
+/// for the last replies of a shutdown.
+const REJECT_TIME: Duration = Duration::from_millis(40);
 /// A router that shuts down closes a connection between requests, a new one only after this: its first request is on
 /// its way, and closed without a reply it would count as rejected.
 pub const FIRST_COMMAND_GRACE: Duration = Duration::from_millis(250);
@@ -77,6 +80,8 @@
     opened_at: Instant,
     /// Until when a router that shuts down waits for the first command.
     first_command_until: Instant,
+    /// Until when commands are read to be rejected, once the connection is about to close.
+    rejects_until: Option<Instant>,
     /// Held while the connection is idle.
     idle_guard: Option<IdleGuard>,
     /// Its slot is one of the reserve, and no request of it was accepted yet.
@@ -104,6 +109,7 @@
             output: ClientOutput::default(),
             opened_at: now,
             first_command_until: now + FIRST_COMMAND_GRACE,
+            rejects_until: None,
             idle_guard: None,
             from_reserve,
         }
@@ -122,31 +128,40 @@
             // A client whose input never ends must not keep the others waiting.
             tokio::task::coop::consume_budget().await;
             let phase = *lifecycle.borrow_and_update();
-            self.take_commands(phase).await;
+            if phase == LifecyclePhase::Closing {
+                self.stop_serving();
+            }
+            self.take_commands().await;
             self.output.take_ready(&mut self.replies);
-            if self.is_finished(phase) {
-                return ConnectionEnd::ByRouter;
+            if self.is_finished() {
+                match self.finish().await {
+                    ControlFlow::Continue(()) => continue,
+                    ControlFlow::Break(end) => return end,
+                }
             }
             match self.output.write(|bytes| self.stream.try_write(bytes)) {
                 Ok(true) => continue,
                 Ok(false) => {}
                 Err(Disconnected) => return ConnectionEnd::ByClient,
             }
-            let is_reading = self.input.can_read(self.can_take_commands(phase));
+            let is_reading = self.can_read();
             if !is_reading && self.is_closed_behind_input().await {
                 return ConnectionEnd::ByClient;
             }
             self.update_idle_guard();
             let wake_up = self.wait(&mut lifecycle, phase, is_reading).await;
-            if let ControlFlow::Break(end) = self.handle_wake_up(wake_up, phase).await {
+            if let ControlFlow::Break(end) = self.handle_wake_up(wake_up).await {
                 return end;
             }
         }
     }
 
     /// Reads what has arrived.
-    fn read(&mut self, phase: LifecyclePhase) -> Result<(), Disconnected> {
-        let takes_commands = self.can_take_commands(phase);
+    fn read(&mut self) -> Result<(), Disconnected> {
+        if !self.can_read() {
+            return Ok(());
+        }
+        let takes_commands = self.can_take_commands();
         let try_read = |buffer: &mut BytesMut| self.stream.try_read_buf(buffer);
         self.input
             .read(try_read, self.context.clock, takes_commands)
@@ -162,16 +177,30 @@
         !self.owes_reply() && self.input.is_empty()
     }
 
-    /// Whether all is answered that is going to be.
-    fn is_finished(&self, phase: LifecyclePhase) -> bool {
-        let takes_no_more = self.input.is_ignored() || phase == LifecyclePhase::Closing;
-        !self.owes_reply() && takes_no_more
+    /// Whether the connection is about to close and all is answered that has been read.
+    fn is_finished(&self) -> bool {
+        !self.owes_reply() && self.input.intake() != Intake::Serve
+    }
+
+    /// Has the connection close once all is answered that has been read; what comes for a moment yet is rejected.
+    fn stop_serving(&mut self) {
+        self.input.reject();
+        self.rejects_until
+            .get_or_insert_with(|| Instant::now() + REJECT_TIME);
+    }
+
+    /// Whether input is read.
+    fn can_read(&self) -> bool {
+        let is_too_late = self.input.intake() == Intake::Reject
+            && self
+                .rejects_until
+                .is_some_and(|until| Instant::now() >= until);
+        !is_too_late && self.input.can_read(self.can_take_commands())
     }
 
     /// Whether commands are taken off the input.
-    fn can_take_commands(&self, phase: LifecyclePhase) -> bool {
-        !self.input.is_ignored()
-            && phase != LifecyclePhase::Closing
+    fn can_take_commands(&self) -> bool {
+        self.input.intake() != Intake::Discard
             && self.replies.len() < MAX_PIPELINED
             && !self.output.is_full()
     }
--- a/crates/cache-router/src/client_connection/close.rs
+++ b/crates/cache-router/src/client_connection/close.rs
@@ -8,8 +8,9 @@
 use tokio::time::Instant;
 
 use super::ClientConnection;
+use super::commands::{BUSY_REPLY, INCOMPLETE_REPLY};
+use super::input::Intake;
 use super::local_failures::Disconnected;
-use crate::lifecycle::LifecyclePhase;
 use crate::message::RouterEvent;
 use crate::socket::SocketStream;
 use crate::socket::errors::{classify, is_not_ready};
@@ -36,11 +37,8 @@
 
 impl ClientConnection {
     /// Closes the connection, unless a command has arrived.
-    pub(super) async fn close_if_idle(
-        &mut self,
-        phase: LifecyclePhase,
-    ) -> ControlFlow<ConnectionEnd> {
-        if self.look_for_input(phase).await.is_err() {
+    pub(super) async fn close_if_idle(&mut self) -> ControlFlow<ConnectionEnd> {
+        if self.look_for_input().await.is_err() {
             return ControlFlow::Break(ConnectionEnd::ByClient);
         }
         if !self.input.is_empty() {
@@ -54,27 +52,40 @@
 
     /// Closes the connection of a client that owes a complete command, unless it has arrived. An incomplete one is
     /// answered, behind all that the client is owed; a client that has sent nothing has nothing to be answered.
-    pub(super) async fn handle_overdue_command(
-        &mut self,
-        phase: LifecyclePhase,
-    ) -> ControlFlow<ConnectionEnd> {
-        if self.look_for_input(phase).await.is_err() {
+    pub(super) async fn handle_overdue_command(&mut self) -> ControlFlow<ConnectionEnd> {
+        if self.look_for_input().await.is_err() {
             return ControlFlow::Break(ConnectionEnd::ByClient);
         }
-        self.take_commands(phase).await;
+        self.take_commands().await;
         let is_overdue = self
             .command_deadline()
             .is_some_and(|deadline| deadline <= Instant::now());
-        if is_overdue && !self.reject_incomplete_command() {
+        if is_overdue && !self.reject_incomplete_command(INCOMPLETE_REPLY) {
             return ControlFlow::Break(ConnectionEnd::ByRouter);
         }
         ControlFlow::Continue(())
     }
 
+    /// Ends a connection that is about to close and has answered all, unless more commands have arrived or one is
+    /// incomplete: each gets its answer first.
+    pub(super) async fn finish(&mut self) -> ControlFlow<ConnectionEnd> {
+        if self.input.intake() == Intake::Reject {
+            if self.look_for_input().await.is_err() {
+                return ControlFlow::Break(ConnectionEnd::ByClient);
+            }
+            self.take_commands().await;
+            self.reject_incomplete_command(BUSY_REPLY);
+        }
+        if self.owes_reply() {
+            return ControlFlow::Continue(());
+        }
+        ControlFlow::Break(ConnectionEnd::ByRouter)
+    }
+
     /// Reads what the kernel has received by now, of which the runtime may not know yet.
-    async fn look_for_input(&mut self, phase: LifecyclePhase) -> Result<(), Disconnected> {
+    async fn look_for_input(&mut self) -> Result<(), Disconnected> {
         tokio::task::yield_now().await;
-        self.read(phase)
+        self.read()
     }
 
     /// Whether a client of which nothing is read has closed its connection behind its unread input.
@@ -99,10 +110,10 @@
     /// Ends the connection in order: the last reply goes out completely, and then its end. What arrives meanwhile is
     /// discarded.
     pub(super) async fn linger(&mut self) {
-        let timeout = if self.input.is_ignored() {
-            LINGER_AFTER_ERROR
-        } else {
-            LINGER_WHEN_IDLE
+        let timeout = match self.input.intake() {
+            Intake::Discard => LINGER_AFTER_ERROR,
+            Intake::Reject if self.from_reserve => LINGER_AFTER_ERROR,
+            Intake::Reject | Intake::Serve => LINGER_WHEN_IDLE,
         };
         // A connection that the client has ended already needs no end.
         let _ = self.stream.shutdown_write();
--- a/crates/cache-router/src/client_connection/commands.rs
+++ b/crates/cache-router/src/client_connection/commands.rs
@@ -4,21 +4,21 @@
 use routing_policy::Micros;
 
 use super::ClientConnection;
-use super::input::ReceivedCommand;
+use super::input::{Intake, ReceivedCommand};
 use crate::client_command::{self, Command};
 use crate::lifecycle::LifecyclePhase;
 use crate::message::{ClientCommand, ClientRequest, RouterEvent};
 
 const PONG_REPLY: &[u8] = b"+PONG\r\n";
 const LOADING_REPLY: &[u8] = b"-LOADING no list of servers yet\r\n";
-const BUSY_REPLY: &[u8] = b"-BUSY\r\n";
+pub(super) const BUSY_REPLY: &[u8] = b"-BUSY\r\n";
 /// The reply to a command whose rest does not come. The client may be sending it still, and takes this for the answer.
-const INCOMPLETE_REPLY: &[u8] = b"-ERR command not complete in time\r\n";
+pub(super) const INCOMPLETE_REPLY: &[u8] = b"-ERR command not complete in time\r\n";
 
 impl ClientConnection {
     /// Takes the commands that are complete.
-    pub(super) async fn take_commands(&mut self, phase: LifecyclePhase) {
-        while self.can_take_commands(phase) {
+    pub(super) async fn take_commands(&mut self) {
+        while self.can_take_commands() {
             match self.input.take_command() {
                 Ok(Some(ReceivedCommand { words, arrived_at })) => {
                     let received_at = arrived_at.unwrap_or_else(|| self.context.clock.now());
@@ -34,11 +34,11 @@
     }
 
     /// Answers the command that the client has left incomplete; all input behind it is lost. `false` if there is none.
-    pub(super) fn reject_incomplete_command(&mut self) -> bool {
+    pub(super) fn reject_incomplete_command(&mut self, reply: &'static [u8]) -> bool {
         let is_incomplete = self.input.incomplete_since().is_some();
         if is_incomplete {
-            self.input.ignore();
-            self.replies.push_ready(INCOMPLETE_REPLY);
+            self.input.discard();
+            self.replies.push_ready(reply);
         }
         is_incomplete
     }
@@ -58,11 +58,13 @@
         }
     }
 
-    /// Hands a request to the event loop, unless there is no slot for it: it is rejected then without the policy, which
-    /// is harmless as it was never sent to a server.
+    /// Hands a request to the event loop, unless the connection is about to close or there is no slot for it: it is
+    /// rejected then without the policy, which is harmless as it was never sent to a server.
     async fn handle_request(&mut self, command: ClientCommand, received_at: Micros) {
         if self.from_reserve && self.context.only_reserve_left() {
-            self.input.ignore();
+            self.stop_serving();
+        }
+        if self.input.intake() != Intake::Serve {
             self.replies.push_ready(BUSY_REPLY);
             return;
         }
--- a/crates/cache-router/src/client_connection/input.rs
+++ b/crates/cache-router/src/client_connection/input.rs
@@ -20,6 +20,18 @@
 /// Free space in the input buffer before each read, in bytes.
 const READ_CAPACITY: usize = 4096;
 
+/// What becomes of the commands of a client.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
+pub enum Intake {
+    /// They are served.
+    #[default]
+    Serve,
+    /// The connection is about to close: each that has been read is answered with a rejection.
+    Reject,
+    /// No command can be told from the input any more: it is discarded.
+    Discard,
+}
+
 /// A command as it was received.
 pub struct ReceivedCommand {
     /// Its words.
@@ -37,9 +49,8 @@
     last_read_at: Option<Instant>,
     /// Since when the first command that is not taken is known to be incomplete.
     incomplete_since: Option<Instant>,
-    /// No further command is taken: what arrives is discarded.
-    is_ignored: bool,
-    /// Bytes that were discarded since.
+    intake: Intake,
+    /// Bytes that were discarded.
     discarded_bytes: usize,
     failures: LocalFailures,
 }
@@ -50,17 +61,24 @@
         self.buffer.is_empty()
     }
 
-    /// Whether what arrives is discarded.
-    pub fn is_ignored(&self) -> bool {
-        self.is_ignored
+    /// What becomes of the commands.
+    pub fn intake(&self) -> Intake {
+        self.intake
+    }
+
+    /// Rejects from now on the commands that are complete.
+    pub fn reject(&mut self) {
+        if self.intake == Intake::Serve {
+            self.intake = Intake::Reject;
+        }
     }
 
     /// Discards what has been read, and from now on what arrives.
-    pub fn ignore(&mut self) {
+    pub fn discard(&mut self) {
         self.buffer = BytesMut::new();
         self.arrival_times = ArrivalTimes::default();
         self.incomplete_since = None;
-        self.is_ignored = true;
+        self.intake = Intake::Discard;
     }
 
     /// Since when the client has left a command incomplete, whether or not more bytes of it come; `None` if it has not,
@@ -71,7 +89,7 @@
 
     /// Whether more is read; `takes_commands` tells whether commands are taken.
     pub fn can_read(&self, takes_commands: bool) -> bool {
-        if self.is_ignored {
+        if self.intake == Intake::Discard {
             return self.discarded_bytes < MAX_DISCARDED_BYTES;
         }
         takes_commands || self.buffer.len() < READ_AHEAD_BYTES
@@ -104,7 +122,7 @@
             }
             match result {
                 Ok(0) => return Err(Disconnected),
-                Ok(count) if self.is_ignored => {
+                Ok(count) if self.intake == Intake::Discard => {
                     self.discarded_bytes += count;
                     self.buffer.clear();
                 }
@@ -151,7 +169,7 @@
                 Ok(None)
             }
             Err(error) => {
-                self.ignore();
+                self.discard();
                 Err(error)
             }
         }
--- a/crates/cache-router/src/client_connection/wait.rs
+++ b/crates/cache-router/src/client_connection/wait.rs
@@ -83,25 +83,21 @@
     }
 
     /// Does what a wake-up asks for. The connection goes on with a look at its buffers, or ends.
-    pub(super) async fn handle_wake_up(
-        &mut self,
-        wake_up: WakeUp,
-        phase: LifecyclePhase,
-    ) -> ControlFlow<ConnectionEnd> {
+    pub(super) async fn handle_wake_up(&mut self, wake_up: WakeUp) -> ControlFlow<ConnectionEnd> {
         match wake_up {
             WakeUp::Reply(reply) => self.handle_reply(reply),
-            WakeUp::Readable(ready) => self.handle_readable(&ready, phase),
-            WakeUp::ReadRetryDue => self.handle_readable(&Ok(()), phase),
+            WakeUp::Readable(ready) => self.handle_readable(&ready),
+            WakeUp::ReadRetryDue => self.handle_readable(&Ok(())),
             WakeUp::Writable(ready) => handle_writable(&ready),
             // The output is written with the next look at the buffers.
             WakeUp::PhaseChanged | WakeUp::CloseCheckDue | WakeUp::WriteRetryDue => {
                 ControlFlow::Continue(())
             }
             WakeUp::FirstCommandOverdue | WakeUp::IdleInShutdown | WakeUp::CloseRequested => {
-                self.close_if_idle(phase).await
+                self.close_if_idle().await
             }
             WakeUp::OutputStalled => ControlFlow::Break(ConnectionEnd::ByClient),
-            WakeUp::CommandOverdue => self.handle_overdue_command(phase).await,
+            WakeUp::CommandOverdue => self.handle_overdue_command().await,
         }
     }
 
@@ -112,12 +108,8 @@
         ControlFlow::Continue(())
     }
 
-    fn handle_readable(
-        &mut self,
-        ready: &io::Result<()>,
-        phase: LifecyclePhase,
-    ) -> ControlFlow<ConnectionEnd> {
-        if ready.is_err() || self.read(phase).is_err() {
+    fn handle_readable(&mut self, ready: &io::Result<()>) -> ControlFlow<ConnectionEnd> {
+        if ready.is_err() || self.read().is_err() {
             return ControlFlow::Break(ConnectionEnd::ByClient);
         }
         ControlFlow::Continue(())
--- a/crates/cache-router/tests/client_connection/support.rs
+++ b/crates/cache-router/tests/client_connection/support.rs
@@ -19,6 +19,9 @@
 /// A reply with the value `v`.
 pub const VALUE_REPLY: &[u8] = b"$1\r\nv\r\n";
 
+/// A reply that rejects a request.
+pub const BUSY_REPLY: &[u8] = b"-BUSY\r\n";
+
 /// What surrounds the connections of a test: their events, what they share, and the phase of the lifecycle.
 pub struct Surroundings {
     pub events: mpsc::Receiver<RouterEvent>,
