--- a/crates/cache-router/src/client_connection.rs
+++ b/crates/cache-router/src/client_connection.rs
@@ -61,7 +61,7 @@
     let stream = SocketStream::new(stream);
     let mut connection = ClientConnection::new(stream, context, client, from_reserve);
     match connection.run().await {
-        ConnectionEnd::ByClient => connection.report_disconnect().await,
+        ConnectionEnd::ByClient => connection.end_disconnected().await,
         ConnectionEnd::ByRouter => connection.linger().await,
     }
 }
--- a/crates/cache-router/src/client_connection/close.rs
+++ b/crates/cache-router/src/client_connection/close.rs
@@ -8,9 +8,10 @@
 use tokio::time::Instant;
 
 use super::ClientConnection;
-use super::commands::{BUSY_REPLY, INCOMPLETE_REPLY};
+use super::commands::INCOMPLETE_REPLY;
 use super::input::Intake;
 use super::local_failures::Disconnected;
+use crate::event_loop::in_flight::{BUSY_REPLY, FAILED_REPLY};
 use crate::message::RouterEvent;
 use crate::socket::SocketStream;
 use crate::socket::errors::{classify, is_not_ready};
@@ -99,14 +100,41 @@
         }
     }
 
+    /// Ends the connection of a client that has closed its side, or all of it: no attempt is sent for it any more. If it
+    /// still waits, it has its final answers.
+    pub(super) async fn end_disconnected(&mut self) {
+        self.report_disconnect().await;
+        self.answer_at_disconnect().await;
+    }
+
     /// Tells the event loop that the client is gone.
-    pub(super) async fn report_disconnect(&mut self) {
+    async fn report_disconnect(&mut self) {
         // First: whoever is about to send for this client sees it at once, whatever is queued before the event.
         self.reply_receiver.close();
         let event = RouterEvent::ClientDisconnected(self.client);
         let _ = self.context.events.send(event).await;
     }
 
+    /// Answers all that the client has sent as far as its socket takes it: a client that has ended only its sending still
+    /// reads. What is in service has been cancelled and may have run; what is not was never sent to a server.
+    async fn answer_at_disconnect(&mut self) {
+        while let Ok(reply) = self.reply_receiver.try_recv() {
+            self.replies.fill(reply);
+        }
+        self.replies.fill_owed(FAILED_REPLY);
+        self.input.reject();
+        for _ in 0..MAX_LINGER_READS {
+            // Up to the end of its sending, which was seen: behind it nothing comes.
+            let _ = self.read();
+            self.take_commands().await;
+            self.output.take_ready(&mut self.replies);
+            let has_written = self.output.write(|bytes| self.stream.try_write(bytes));
+            if !matches!(has_written, Ok(true)) {
+                return;
+            }
+        }
+    }
+
     /// Ends the connection in order: the last reply goes out completely, and then its end. What arrives meanwhile is
     /// discarded.
     pub(super) async fn linger(&mut self) {
--- a/crates/cache-router/src/client_connection/commands.rs
+++ b/crates/cache-router/src/client_connection/commands.rs
@@ -6,12 +6,12 @@
 use super::ClientConnection;
 use super::input::{Intake, ReceivedCommand};
 use crate::client_command::{self, Command};
+use crate::event_loop::in_flight::BUSY_REPLY;
 use crate::lifecycle::LifecyclePhase;
 use crate::message::{ClientCommand, ClientRequest, RouterEvent};
 
 const PONG_REPLY: &[u8] = b"+PONG\r\n";
 const LOADING_REPLY: &[u8] = b"-LOADING no list of servers yet\r\n";
-pub(super) const BUSY_REPLY: &[u8] = b"-BUSY\r\n";
 /// The reply to a command whose rest does not come. The client may be sending it still, and takes this for the answer.
 pub(super) const INCOMPLETE_REPLY: &[u8] = b"-ERR command not complete in time\r\n";
 
--- a/crates/cache-router/src/client_connection/reply_queue.rs
+++ b/crates/cache-router/src/client_connection/reply_queue.rs
@@ -50,6 +50,13 @@
         }
     }
 
+    /// Puts a reply in all slots that are without one.
+    pub fn fill_owed(&mut self, reply: &'static [u8]) {
+        for slot in &mut self.slots {
+            slot.reply.get_or_insert(Bytes::from_static(reply));
+        }
+    }
+
     /// Takes the first reply, if it is there.
     pub fn pop_ready(&mut self) -> Option<Bytes> {
         self.slots.front()?.reply.as_ref()?;
--- a/crates/cache-router/tests/client_connection/disconnects.rs
+++ b/crates/cache-router/tests/client_connection/disconnects.rs
@@ -5,11 +5,11 @@
 use bytes::Bytes;
 use cache_router::client_connection::MAX_PIPELINED;
 use cache_router::message::RouterEvent;
-use tokio::io::AsyncWriteExt;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use crate::support::{connected, get, reply};
+use crate::support::{BUSY_REPLY, VALUE_REPLY, connected, get, reply};
 
 /// What the operators allow between a client's close and the last moment at which an attempt may begin for it.
 const NOTIFY_WITHIN: Duration = Duration::from_millis(100);
@@ -150,3 +150,42 @@
     }
     while let Some(RouterEvent::Terminate) = surroundings.events.recv().await {}
 }
+
+#[tokio::test(start_paused = true)]
+async fn a_client_that_ends_its_sending_and_goes_on_reading_has_its_final_answers() {
+    // None and many behind those that are in service, up to more than is read ahead.
+    for behind in [0, 100, 2_000] {
+        let (client, mut surroundings) = connected().await;
+        let (mut reader, mut writer) = client.into_split();
+        let all: Vec<u8> = (0..MAX_PIPELINED + behind).flat_map(get).collect();
+        writer.write_all(&all).await.unwrap();
+        let requests = surroundings.next_requests(MAX_PIPELINED).await;
+        reply(&requests[0], VALUE_REPLY).await;
+        reply(&requests[2], VALUE_REPLY).await;
+        drop(writer);
+        let mut received = Vec::new();
+        reader.read_to_end(&mut received).await.unwrap();
+        let received = String::from_utf8(received).unwrap();
+        // The first reply lets one more request be accepted.
+        let count = |reply: &str| received.matches(reply).count();
+        let accepted = MAX_PIPELINED + behind.min(1);
+        assert!(received.starts_with("$1\r\nv\r\n-ERR failed\r\n$1\r\nv\r\n-ERR"));
+        assert_eq!(count("-ERR failed\r\n"), accepted - 2, "{behind} behind");
+        assert_eq!(count("-BUSY\r\n"), behind - behind.min(1));
+        assert!(requests[1].replies.is_closed(), "nothing is sent for it");
+    }
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_request_that_is_read_together_with_the_end_of_sending_is_rejected() {
+    let (client, mut surroundings) = connected().await;
+    tokio::task::yield_now().await;
+    let client = client.into_std().unwrap();
+    std::io::Write::write_all(&mut &client, &get(1)).unwrap();
+    client.shutdown(std::net::Shutdown::Write).unwrap();
+    let mut client = TcpStream::from_std(client).unwrap();
+    let mut received = Vec::new();
+    client.read_to_end(&mut received).await.unwrap();
+    assert_eq!(received, BUSY_REPLY);
+    assert_eq!(surroundings.until_disconnected().await, 0);
+}
