--- a/crates/cache-router/src/client_connection.rs
+++ b/crates/cache-router/src/client_connection.rs
@@ -132,6 +132,7 @@
                 self.stop_serving();
             }
             self.take_commands().await;
+            self.reject_excess_commands();
             self.output.take_ready(&mut self.replies);
             if self.is_finished() {
                 match self.finish().await {
@@ -144,6 +145,7 @@
                 Ok(false) => {}
                 Err(Disconnected) => return ConnectionEnd::ByClient,
             }
+            self.input.update_interval();
             let is_reading = self.can_read();
             if !is_reading && self.is_closed_behind_input().await {
                 return ConnectionEnd::ByClient;
--- a/crates/cache-router/src/client_connection/commands.rs
+++ b/crates/cache-router/src/client_connection/commands.rs
@@ -9,6 +9,7 @@
 use crate::event_loop::in_flight::BUSY_REPLY;
 use crate::lifecycle::LifecyclePhase;
 use crate::message::{ClientCommand, ClientRequest, RouterEvent};
+use crate::resp::RespError;
 
 const PONG_REPLY: &[u8] = b"+PONG\r\n";
 const LOADING_REPLY: &[u8] = b"-LOADING no list of servers yet\r\n";
@@ -25,14 +26,32 @@
                     self.handle_command(&words, received_at).await;
                 }
                 Ok(None) => break,
-                Err(error) => {
-                    let reply = format!("-ERR protocol error: {error}\r\n");
-                    self.replies.push_ready(reply);
-                }
+                Err(error) => self.push_protocol_error(error),
+            }
+        }
+    }
+
+    /// Rejects commands that have been read ahead, if there are too many: the client's close may be behind what it has
+    /// sent, and is only seen once that has been read.
+    pub(super) fn reject_excess_commands(&mut self) {
+        if self.can_take_commands() || !self.input.is_full() {
+            return;
+        }
+        while self.input.has_excess() {
+            match self.input.take_command() {
+                Ok(Some(_)) => self.replies.push_repeated(BUSY_REPLY),
+                Ok(None) => return,
+                Err(error) => self.push_protocol_error(error),
             }
         }
     }
 
+    /// Answers input that is not a command.
+    fn push_protocol_error(&mut self, error: RespError) {
+        self.replies
+            .push_ready(format!("-ERR protocol error: {error}\r\n"));
+    }
+
     /// Answers the command that the client has left incomplete; all input behind it is lost. `false` if there is none.
     pub(super) fn reject_incomplete_command(&mut self, reply: &'static [u8]) -> bool {
         let is_incomplete = self.input.incomplete_since().is_some();
--- a/crates/cache-router/src/client_connection/input.rs
+++ b/crates/cache-router/src/client_connection/input.rs
@@ -1,6 +1,7 @@
 //! The input of a client: what has been read of its socket, and the commands that are taken off it.
 
 use std::io;
+use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
 use routing_policy::Micros;
@@ -13,10 +14,15 @@
 use crate::socket::errors::is_not_ready;
 
 /// While no command is taken, this many bytes are read ahead all the same: behind them may be the client's close, and
-/// the time of a request counts from when it arrived.
-const READ_AHEAD_BYTES: usize = 16 * 1024;
-/// Of a client whose input is ignored this many bytes are read and discarded while it is still owed replies.
-const MAX_DISCARDED_BYTES: usize = 1024 * 1024;
+/// the time of a request counts from when it arrived. It has to exceed the longest command.
+const MAX_READ_AHEAD_BYTES: usize = 128 * 1024;
+/// When that much has been read ahead, commands are rejected until this much is left.
+const READ_AHEAD_BYTES_TO_KEEP: usize = MAX_READ_AHEAD_BYTES / 2;
+/// Of a client whose commands are not taken this many bytes are read in each interval, against one that never stops
+/// sending. What the buffers of both machines hold takes a few intervals.
+const MAX_UNSERVED_BYTES: usize = 2 * 1024 * 1024;
+/// The length of these intervals.
+pub const UNSERVED_INTERVAL: Duration = Duration::from_millis(25);
 /// Free space in the input buffer before each read, in bytes.
 const READ_CAPACITY: usize = 4096;
 
@@ -41,7 +47,6 @@
 }
 
 /// The input of a client.
-#[derive(Default)]
 pub struct ClientInput {
     buffer: BytesMut,
     arrival_times: ArrivalTimes,
@@ -50,11 +55,27 @@
     /// Since when the first command that is not taken is known to be incomplete.
     incomplete_since: Option<Instant>,
     intake: Intake,
-    /// Bytes that were discarded.
-    discarded_bytes: usize,
+    /// Bytes that were read in the present interval while commands were not taken.
+    unserved_bytes: usize,
+    interval_ends_at: Instant,
     failures: LocalFailures,
 }
 
+impl Default for ClientInput {
+    fn default() -> Self {
+        ClientInput {
+            buffer: BytesMut::new(),
+            arrival_times: ArrivalTimes::default(),
+            last_read_at: None,
+            incomplete_since: None,
+            intake: Intake::default(),
+            unserved_bytes: 0,
+            interval_ends_at: Instant::now() + UNSERVED_INTERVAL,
+            failures: LocalFailures::default(),
+        }
+    }
+}
+
 impl ClientInput {
     /// Whether nothing has been read that is not taken.
     pub fn is_empty(&self) -> bool {
@@ -89,10 +110,26 @@
 
     /// Whether more is read; `takes_commands` tells whether commands are taken.
     pub fn can_read(&self, takes_commands: bool) -> bool {
-        if self.intake == Intake::Discard {
-            return self.discarded_bytes < MAX_DISCARDED_BYTES;
+        takes_commands || self.unserved_bytes < MAX_UNSERVED_BYTES && !self.is_full()
+    }
+
+    /// Whether as much is read ahead as is kept.
+    pub fn is_full(&self) -> bool {
+        self.buffer.len() >= MAX_READ_AHEAD_BYTES
+    }
+
+    /// Whether there is more read ahead than is left when commands are rejected.
+    pub fn has_excess(&self) -> bool {
+        self.buffer.len() > READ_AHEAD_BYTES_TO_KEEP
+    }
+
+    /// Begins the next interval, if the present one is over: more may be read while commands are not taken.
+    pub fn update_interval(&mut self) {
+        let now = Instant::now();
+        if now >= self.interval_ends_at {
+            self.unserved_bytes = 0;
+            self.interval_ends_at = now + UNSERVED_INTERVAL;
         }
-        takes_commands || self.buffer.len() < READ_AHEAD_BYTES
     }
 
     /// Reads that failed for want of something on this machine.
@@ -120,12 +157,14 @@
             if result.is_ok() {
                 self.failures.succeeded();
             }
+            if let Ok(count) = result
+                && !takes_commands
+            {
+                self.unserved_bytes += count;
+            }
             match result {
                 Ok(0) => return Err(Disconnected),
-                Ok(count) if self.intake == Intake::Discard => {
-                    self.discarded_bytes += count;
-                    self.buffer.clear();
-                }
+                Ok(_) if self.intake == Intake::Discard => self.buffer.clear(),
                 Ok(count) => {
                     self.arrival_times.add(count, clock.now());
                     self.last_read_at = Some(Instant::now());
--- a/crates/cache-router/src/client_connection/reply_queue.rs
+++ b/crates/cache-router/src/client_connection/reply_queue.rs
@@ -11,8 +11,10 @@
 struct ReplySlot {
     /// `None` while the reply is owed.
     reply: Option<Bytes>,
+    /// How many commands behind the first have the same reply.
+    repetitions: usize,
     /// Counts a request among the open ones until its reply is passed on.
-    _request_permit: Option<OwnedSemaphorePermit>,
+    request_permit: Option<OwnedSemaphorePermit>,
 }
 
 /// The replies that a client is owed, in the order of its commands.
@@ -29,7 +31,8 @@
         let sequence = self.first_sequence + self.slots.len() as u64;
         self.slots.push_back(ReplySlot {
             reply: None,
-            _request_permit: Some(request_permit),
+            repetitions: 0,
+            request_permit: Some(request_permit),
         });
         sequence
     }
@@ -38,10 +41,22 @@
     pub fn push_ready(&mut self, reply: impl Into<Bytes>) {
         self.slots.push_back(ReplySlot {
             reply: Some(reply.into()),
-            _request_permit: None,
+            repetitions: 0,
+            request_permit: None,
         });
     }
 
+    /// Appends a reply that is there already, in the last slot if that has the same. However many of one kind are owed,
+    /// they take the memory of one.
+    pub fn push_repeated(&mut self, reply: &'static [u8]) {
+        match self.slots.back_mut() {
+            Some(last) if last.request_permit.is_none() && last.reply.as_deref() == Some(reply) => {
+                last.repetitions += 1
+            }
+            _ => self.push_ready(reply),
+        }
+    }
+
     /// Puts a reply in its slot.
     pub fn fill(&mut self, reply: ClientReply) {
         let position = reply.sequence.saturating_sub(self.first_sequence) as usize;
@@ -59,13 +74,18 @@
 
     /// Takes the first reply, if it is there.
     pub fn pop_ready(&mut self) -> Option<Bytes> {
-        self.slots.front()?.reply.as_ref()?;
+        let first = self.slots.front_mut()?;
+        let reply = first.reply.as_ref()?;
+        if first.repetitions > 0 {
+            first.repetitions -= 1;
+            return Some(reply.clone());
+        }
         let slot = self.slots.pop_front()?;
         self.first_sequence += 1;
         slot.reply
     }
 
-    /// How many replies are queued or owed.
+    /// How many slots are in use.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
--- a/crates/cache-router/src/client_connection/wait.rs
+++ b/crates/cache-router/src/client_connection/wait.rs
@@ -7,13 +7,14 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
+use super::input::UNSERVED_INTERVAL;
 use super::{ClientConnection, ConnectionEnd};
 use crate::idle_connections::IdleGuard;
 use crate::lifecycle::LifecyclePhase;
 use crate::message::ClientReply;
 
-/// How often a connection that is not read from is checked for the client's close.
-const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(25);
+/// How often a connection that is not read from is checked for the client's close, and for whether it is read again.
+const CLOSE_CHECK_INTERVAL: Duration = UNSERVED_INTERVAL;
 /// Why a wait is over.
 pub(super) enum WakeUp {
     /// The event loop has sent a reply.
--- a/crates/cache-router/tests/client_connection/closes.rs
+++ b/crates/cache-router/tests/client_connection/closes.rs
@@ -269,3 +269,20 @@
     );
     assert!(surroundings.events.try_recv().is_err());
 }
+
+#[tokio::test(start_paused = true)]
+async fn a_request_before_bytes_that_are_no_command_has_its_answer() {
+    let (mut client, mut surroundings) = connected().await;
+    let bytes = [&get(1)[..], b"rubbish\r\n", &get(2)].concat();
+    client.write_all(&bytes).await.unwrap();
+    let request = surroundings.next_requests(1).await.remove(0);
+    tokio::time::sleep(Duration::from_secs(5)).await;
+    reply(&request, VALUE_REPLY).await;
+    let mut received = Vec::new();
+    client.read_to_end(&mut received).await.unwrap();
+    let received = String::from_utf8(received).unwrap();
+    assert_eq!(
+        received,
+        "$1\r\nv\r\n-ERR protocol error: unexpected type\r\n"
+    );
+}
--- a/crates/cache-router/tests/client_connection/disconnects.rs
+++ b/crates/cache-router/tests/client_connection/disconnects.rs
@@ -9,7 +9,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use crate::support::{BUSY_REPLY, VALUE_REPLY, connected, get, reply};
+use crate::support::{BUSY_REPLY, VALUE_REPLY, connected, connected_with_slots, get, reply};
 
 /// What the operators allow between a client's close and the last moment at which an attempt may begin for it.
 const NOTIFY_WITHIN: Duration = Duration::from_millis(100);
@@ -189,3 +189,60 @@
     assert_eq!(received, BUSY_REPLY);
     assert_eq!(surroundings.until_disconnected().await, 0);
 }
+
+#[tokio::test(start_paused = true)]
+async fn a_disconnect_behind_more_input_than_all_buffers_hold_is_noticed() {
+    const MEBIBYTE: usize = 1024 * 1024;
+    for (megabytes, disconnect) in [1, 8]
+        .into_iter()
+        .flat_map(|n| Disconnect::ALL.map(|way| (n, way)))
+    {
+        let (mut client, mut surroundings) = connected().await;
+        let all: Vec<u8> = (0..).flat_map(get).take(megabytes * MEBIBYTE).collect();
+        let sends = client.write_all(&all);
+        let taken = surroundings.next_requests(MAX_PIPELINED);
+        let (sent, taken) =
+            tokio::join!(tokio::time::timeout(Duration::from_secs(60), sends), taken);
+        sent.expect("all is read").unwrap();
+        let _half = disconnect.apply(client).await;
+        let since = Instant::now();
+        assert_eq!(surroundings.until_disconnected().await, 0);
+        assert!(
+            since.elapsed() <= NOTIFY_WITHIN,
+            "{megabytes} MiB, {disconnect:?}: after {:?}",
+            since.elapsed()
+        );
+        assert_eq!(taken.len(), MAX_PIPELINED);
+    }
+}
+
+#[tokio::test(start_paused = true)]
+async fn clients_that_leave_in_a_burst_revoke_all_sends_before_the_event_loop_hears_of_it() {
+    const CLIENTS: usize = 300;
+    for disconnect in Disconnect::ALL {
+        let (first, mut surroundings) = connected_with_slots(CLIENTS + 2).await;
+        let address = first.peer_addr().unwrap();
+        let mut clients = vec![first];
+        while clients.len() < CLIENTS {
+            clients.push(TcpStream::connect(address).await.unwrap());
+        }
+        let mut requests = Vec::new();
+        for client in &mut clients {
+            client.write_all(&get(1)).await.unwrap();
+            requests.extend(surroundings.next_requests(1).await);
+        }
+        let mut halves = Vec::new();
+        for client in clients {
+            halves.push(disconnect.apply(client).await);
+        }
+        let since = Instant::now();
+        // The queue of events holds far fewer than the burst.
+        while !requests.iter().all(|request| request.replies.is_closed()) {
+            tokio::time::sleep(Duration::from_millis(1)).await;
+            assert!(since.elapsed() <= NOTIFY_WITHIN, "{disconnect:?}");
+        }
+        for _ in 0..CLIENTS {
+            surroundings.until_disconnected().await;
+        }
+    }
+}
--- a/crates/cache-router/tests/client_connection/requests.rs
+++ b/crates/cache-router/tests/client_connection/requests.rs
@@ -64,6 +64,52 @@
     }
 }
 
+#[tokio::test(start_paused = true)]
+async fn each_of_many_more_requests_than_are_read_ahead_has_one_reply() {
+    const REQUESTS: usize = 10_000;
+    let (client, mut surroundings) = connected().await;
+    let (mut reader, mut writer) = client.into_split();
+    let sender = tokio::spawn(async move {
+        let all: Vec<u8> = (0..REQUESTS).flat_map(get).collect();
+        writer.write_all(&all).await.unwrap();
+        writer
+    });
+    let first = surroundings.next_requests(MAX_PIPELINED).await;
+    let _writer = sender.await.unwrap();
+    for request in &first {
+        reply(request, VALUE_REPLY).await;
+    }
+    let answers_rest = async {
+        loop {
+            let request = surroundings.next_requests(1).await.remove(0);
+            reply(&request, VALUE_REPLY).await;
+        }
+    };
+    let counts_replies = async {
+        let mut received = Vec::new();
+        while received
+            .iter()
+            .filter(|byte| **byte == b'v' || **byte == b'B')
+            .count()
+            < REQUESTS
+        {
+            assert_ne!(reader.read_buf(&mut received).await.unwrap(), 0);
+        }
+        String::from_utf8(received).unwrap()
+    };
+    let received = tokio::select! {
+        received = counts_replies => received,
+        () = answers_rest => unreachable!("it never ends"),
+    };
+    let served = received.matches("$1\r\nv\r\n").count();
+    let rejected = received.matches("-BUSY\r\n").count();
+    assert_eq!(served + rejected, REQUESTS);
+    assert!(
+        served > MAX_PIPELINED && rejected > 0,
+        "{served} and {rejected}"
+    );
+}
+
 #[tokio::test(start_paused = true)]
 async fn a_client_that_takes_no_replies_is_cut_off_although_it_goes_on_sending() {
     let (client, mut surroundings) = connected().await;
--- a/crates/cache-router/tests/client_connection/support.rs
+++ b/crates/cache-router/tests/client_connection/support.rs
@@ -57,8 +57,13 @@
     }
 }
 
-/// A client that is connected to a listener of its own.
+/// A client that is connected to a listener of its own, which has four slots.
 pub async fn connected() -> (TcpStream, Surroundings) {
+    connected_with_slots(4).await
+}
+
+/// The same with a number of slots.
+pub async fn connected_with_slots(slots: usize) -> (TcpStream, Surroundings) {
     let (event_sender, events) = mpsc::channel(16);
     let (lifecycle_sender, lifecycle) = watch::channel(LifecyclePhase::Ready);
     let deployment = routing_policy::settings::read(br#"{"classes":[{"name":"read"}]}"#).unwrap();
@@ -67,7 +72,7 @@
         clock: Clock::start(),
         events: event_sender,
         lifecycle,
-        connection_slots: Arc::new(Semaphore::new(4)),
+        connection_slots: Arc::new(Semaphore::new(slots)),
         reserved_slots: 1,
         idle_connections: Arc::default(),
         request_slots: Arc::new(Semaphore::new(1_024)),
