--- a/crates/cache-router/src/client_connection/output.rs
+++ b/crates/cache-router/src/client_connection/output.rs
@@ -51,6 +51,9 @@
 
     /// Moves the replies here that are ready, in their order.
     pub fn take_ready(&mut self, replies: &mut ReplyQueue) {
+        if self.buffer.is_empty() {
+            self.progress_at = Instant::now();
+        }
         while !self.is_full()
             && let Some(reply) = replies.pop_ready()
         {
@@ -76,7 +79,6 @@
         if self.buffer.is_empty() {
             // Gives back the memory that a large reply took.
             self.buffer = BytesMut::new();
-            self.progress_at = Instant::now();
             return Ok(false);
         }
         if self.failures.is_paused() {
--- a/crates/cache-router/tests/client_connection/requests.rs
+++ b/crates/cache-router/tests/client_connection/requests.rs
@@ -3,6 +3,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use cache_router::client_connection::output::ClientOutput;
+use cache_router::client_connection::reply_queue::ReplyQueue;
 use cache_router::client_connection::{MAX_PIPELINED, OUTPUT_STALL_TIMEOUT};
 use cache_router::lifecycle::LifecyclePhase;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -110,6 +112,23 @@
     );
 }
 
+#[tokio::test(start_paused = true)]
+async fn a_client_has_its_whole_time_to_take_a_reply_that_comes_long_after_the_one_before() {
+    let mut replies = ReplyQueue::default();
+    let mut output = ClientOutput::default();
+    tokio::time::sleep(OUTPUT_STALL_TIMEOUT * 2).await;
+    replies.push_ready(VALUE_REPLY);
+    output.take_ready(&mut replies);
+    let would_block = |_: &[u8]| Err(std::io::ErrorKind::WouldBlock.into());
+    assert!(matches!(output.write(would_block), Ok(false)));
+    assert_eq!(output.stalled_at(), Instant::now() + OUTPUT_STALL_TIMEOUT);
+    // More replies are no progress.
+    tokio::time::sleep(OUTPUT_STALL_TIMEOUT).await;
+    replies.push_ready(VALUE_REPLY);
+    output.take_ready(&mut replies);
+    assert_eq!(output.stalled_at(), Instant::now());
+}
+
 #[tokio::test(start_paused = true)]
 async fn a_client_that_takes_no_replies_is_cut_off_although_it_goes_on_sending() {
     let (client, mut surroundings) = connected().await;
