--- a/crates/cache-router/src/client_connection/close.rs
+++ b/crates/cache-router/src/client_connection/close.rs
@@ -115,21 +115,30 @@
         let _ = self.context.events.send(event).await;
     }
 
-    /// Answers all that the client has sent as far as its socket takes it: a client that has ended only its sending still
-    /// reads. What is in service has been cancelled and may have run; what is not was never sent to a server.
+    /// Answers all that the client has sent: one that has ended only its sending still reads. What is in service has been
+    /// cancelled and may have run; what is not was never sent to a server. One that has gone resets the connection.
     async fn answer_at_disconnect(&mut self) {
         while let Ok(reply) = self.reply_receiver.try_recv() {
             self.replies.fill(reply);
         }
         self.replies.fill_owed(FAILED_REPLY);
         self.input.reject();
-        for _ in 0..MAX_LINGER_READS {
+        loop {
+            tokio::task::coop::consume_budget().await;
             // Up to the end of its sending, which was seen: behind it nothing comes.
             let _ = self.read();
             self.take_commands().await;
             self.output.take_ready(&mut self.replies);
-            let has_written = self.output.write(|bytes| self.stream.try_write(bytes));
-            if !matches!(has_written, Ok(true)) {
+            match self.output.write(|bytes| self.stream.try_write(bytes)) {
+                Ok(true) => continue,
+                Ok(false) if self.owes_reply() => {}
+                Ok(false) | Err(Disconnected) => return,
+            }
+            let may_write = self.output.may_write(&self.stream);
+            if tokio::time::timeout(LINGER_AFTER_ERROR, may_write)
+                .await
+                .is_err()
+            {
                 return;
             }
         }
--- a/crates/cache-router/src/client_connection/output.rs
+++ b/crates/cache-router/src/client_connection/output.rs
@@ -8,6 +8,7 @@
 
 use super::local_failures::{Disconnected, LocalFailures};
 use super::reply_queue::ReplyQueue;
+use crate::socket::SocketStream;
 use crate::socket::errors::is_not_ready;
 
 /// While this many bytes wait to be written to a client, no further command of it is taken.
@@ -66,6 +67,15 @@
         &self.failures
     }
 
+    /// Waits until the next write may succeed.
+    pub async fn may_write(&self, stream: &SocketStream) {
+        match self.failures.retry_at() {
+            Some(retry_at) => tokio::time::sleep_until(retry_at).await,
+            // Whether the socket is ready or has failed, the write tells.
+            None => drop(stream.writable().await),
+        }
+    }
+
     /// Writes what the kernel takes, with `try_write` for the call on the socket, unless the next write has to wait;
     /// `true` if it took something.
     ///
--- a/crates/cache-router/tests/client_connection/disconnects.rs
+++ b/crates/cache-router/tests/client_connection/disconnects.rs
@@ -246,3 +246,17 @@
         }
     }
 }
+
+#[tokio::test(start_paused = true)]
+async fn a_client_that_ends_its_sending_has_whole_replies_of_more_than_the_buffers_hold() {
+    const REPLY_BYTES: usize = 16 * 1024 * 1024;
+    let (client, mut surroundings) = connected().await;
+    let (mut reader, mut writer) = client.into_split();
+    writer.write_all(&[get(1), get(2)].concat()).await.unwrap();
+    let request = surroundings.next_requests(2).await.remove(0);
+    reply(&request, vec![b'v'; REPLY_BYTES]).await;
+    drop(writer);
+    let mut received = Vec::new();
+    reader.read_to_end(&mut received).await.unwrap();
+    assert_eq!(received.len(), REPLY_BYTES + b"-ERR failed\r\n".len());
+}
