--- a/crates/cache-router/src/client_connection.rs
+++ b/crates/cache-router/src/client_connection.rs
@@ -4,7 +4,7 @@
 //! The [listener](crate::listener) spawns the task. It ends by itself when the client closes its connection, when the
 //! router shuts down, or when an idle connection has to give up its place.
 
-mod arrival_times;
+pub mod arrival_times;
 mod close;
 mod commands;
 pub mod input;
--- a/crates/cache-router/src/client_connection/arrival_times.rs
+++ b/crates/cache-router/src/client_connection/arrival_times.rs
@@ -4,8 +4,9 @@
 
 use routing_policy::Micros;
 
-/// The most arrivals that are kept apart; what comes beyond counts as arrived with the last of them.
-const MAX_ARRIVALS: usize = 64;
+/// The most arrivals that are kept apart; what comes beyond counts as arrived with the last of them, which is too early.
+/// More than there are small requests in half of what is read ahead.
+const MAX_ARRIVALS: usize = 1_024;
 /// Bytes that arrive within this of others, in microseconds, count as arrived with them: deadlines are in milliseconds.
 const MERGE_WINDOW: Micros = 1_000;
 
--- a/crates/cache-router/tests/client_connection/requests.rs
+++ b/crates/cache-router/tests/client_connection/requests.rs
@@ -3,6 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use cache_router::client_connection::arrival_times::ArrivalTimes;
 use cache_router::client_connection::output::ClientOutput;
 use cache_router::client_connection::reply_queue::ReplyQueue;
 use cache_router::client_connection::{MAX_PIPELINED, OUTPUT_STALL_TIMEOUT};
@@ -40,6 +41,18 @@
     );
 }
 
+#[test]
+fn requests_that_are_read_ahead_one_by_one_keep_the_time_of_their_arrival() {
+    let mut arrival_times = ArrivalTimes::default();
+    for number in 0..1_000 {
+        arrival_times.add(60, number * 2_000);
+    }
+    for number in 0..1_000 {
+        assert_eq!(arrival_times.take(60), Some(number * 2_000));
+    }
+    assert_eq!(arrival_times.take(60), None);
+}
+
 #[tokio::test(start_paused = true)]
 async fn a_request_in_pieces_is_served_although_a_shutdown_begins_between_two_of_them() {
     for cut in 1..get(1).len() {
