--- /dev/null
+++ b/crates/cache-router/src/client_connection/commands.rs
@@ -0,0 +1,105 @@
+//! The commands of a client: each is answered at once, or handed to the event loop, which answers it later.
+
+use bytes::Bytes;
+use routing_policy::Micros;
+
+use super::ClientConnection;
+use super::input::{Intake, ReceivedCommand};
+use crate::client_command::{self, Command};
+use crate::event_loop::in_flight::BUSY_REPLY;
+use crate::lifecycle::LifecyclePhase;
+use crate::message::{ClientCommand, ClientRequest, RouterEvent};
+use crate::resp::RespError;
+
+const PONG_REPLY: &[u8] = b"+PONG\r\n";
+const LOADING_REPLY: &[u8] = b"-LOADING no list of servers yet\r\n";
+/// The reply to a command whose rest does not come. The client may be sending it still, and takes this for the answer.
+pub(super) const INCOMPLETE_REPLY: &[u8] = b"-ERR command not complete in time\r\n";
+
+impl ClientConnection {
+    /// Takes the commands that are complete.
+    pub(super) async fn take_commands(&mut self) {
+        while self.can_take_commands() {
+            match self.input.take_command() {
+                Ok(Some(ReceivedCommand { words, arrived_at })) => {
+                    let received_at = arrived_at.unwrap_or_else(|| self.context.clock.now());
+                    self.handle_command(&words, received_at).await;
+                }
+                Ok(None) => break,
+                Err(error) => self.push_protocol_error(error),
+            }
+        }
+    }
+
+    /// Rejects commands that have been read ahead, if there are too many: the client's close may be behind what it has
+    /// sent, and is only seen once that has been read.
+    pub(super) fn reject_excess_commands(&mut self) {
+        if self.can_take_commands() || !self.input.is_full() {
+            return;
+        }
+        while self.input.has_excess() {
+            match self.input.take_command() {
+                Ok(Some(_)) => self.replies.push_repeated(BUSY_REPLY),
+                Ok(None) => return,
+                Err(error) => self.push_protocol_error(error),
+            }
+        }
+    }
+
+    /// Answers input that is not a command.
+    fn push_protocol_error(&mut self, error: RespError) {
+        self.replies
+            .push_ready(format!("-ERR protocol error: {error}\r\n"));
+    }
+
+    /// Answers the command that the client has left incomplete; all input behind it is lost. `false` if there is none.
+    pub(super) fn reject_incomplete_command(&mut self, reply: &'static [u8]) -> bool {
+        let is_incomplete = self.input.incomplete_since().is_some();
+        if is_incomplete {
+            self.input.discard();
+            self.replies.push_ready(reply);
+        }
+        is_incomplete
+    }
+
+    async fn handle_command(&mut self, words: &[Bytes], received_at: Micros) {
+        match client_command::parse(words, &self.context.deployment) {
+            Ok(Command::Ping) => {
+                let phase = *self.context.lifecycle.borrow();
+                let reply = match phase {
+                    LifecyclePhase::Starting => LOADING_REPLY,
+                    _ => PONG_REPLY,
+                };
+                self.replies.push_ready(reply);
+            }
+            Ok(Command::Request(command)) => self.handle_request(command, received_at).await,
+            Err(error) => self.replies.push_ready(format!("-ERR {error}\r\n")),
+        }
+    }
+
+    /// Hands a request to the event loop, unless the connection is about to close or there is no slot for it: it is
+    /// rejected then without the policy, which is harmless as it was never sent to a server.
+    async fn handle_request(&mut self, command: ClientCommand, received_at: Micros) {
+        if self.from_reserve && self.context.only_reserve_left() {
+            self.stop_serving();
+        }
+        if self.input.intake() != Intake::Serve {
+            self.replies.push_ready(BUSY_REPLY);
+            return;
+        }
+        self.from_reserve = false;
+        let Ok(permit) = self.context.request_slots.clone().try_acquire_owned() else {
+            self.replies.push_ready(BUSY_REPLY);
+            return;
+        };
+        let request = ClientRequest {
+            command,
+            received_at,
+            client: self.client,
+            sequence: self.replies.reserve(permit),
+            replies: self.reply_sender.clone(),
+        };
+        let event = RouterEvent::ClientRequest(Box::new(request));
+        let _ = self.context.events.send(event).await;
+    }
+}
