--- a/crates/routerctl/src/commands/testbed/run.rs
+++ b/crates/routerctl/src/commands/testbed/run.rs
@@ -43,10 +43,7 @@
     };
     print!("{report}");
     if let Some(path) = &arguments.json {
-        report.save(path).map_err(|source| CommandError::Write {
-            path: path.clone(),
-            source,
-        })?;
+        report.save(path)?;
     }
     Ok(Outcome::passed_if(report.invariants_hold()))
 }
--- a/crates/routerctl/src/outcome.rs
+++ b/crates/routerctl/src/outcome.rs
@@ -7,6 +7,7 @@
 use acceptance::margins::MarginsError;
 use acceptance::sources::SourceError;
 use router_config::ConfigError;
+use testbed::atomic_file::WriteError;
 use testbed::experiment::ExperimentError;
 use testbed::program::ProgramError;
 use testbed::sockets::SocketError;
@@ -70,13 +71,8 @@
     #[error(transparent)]
     System(#[from] std::io::Error),
     /// A file cannot be written.
-    #[error("cannot write {}: {source}", path.display())]
-    Write {
-        /// Path of the file.
-        path: PathBuf,
-        /// The operating system's error.
-        source: std::io::Error,
-    },
+    #[error("cannot write {0}")]
+    Write(#[from] WriteError),
     /// A folder cannot be created.
     #[error("cannot create {}: {source}", path.display())]
     CreateFolder {
--- a/crates/testbed/src/experiment/commit_build.rs
+++ b/crates/testbed/src/experiment/commit_build.rs
@@ -3,6 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
+use crate::atomic_file::copy_program;
 use crate::program::ProgramError;
 
 /// Name of the router's program.
@@ -100,7 +101,7 @@
             .current_dir(tree);
         self.output(&mut command)?;
         let compiled = target.join("release").join(binary);
-        std::fs::copy(compiled, program).map_err(|e| self.failed(&e))?;
-        Ok(())
+        // A part of a program must not be taken for the build of this commit later.
+        copy_program(&compiled, program).map_err(|e| self.failed(&e))
     }
 }
--- a/crates/testbed/src/experiment/error.rs
+++ b/crates/testbed/src/experiment/error.rs
@@ -4,6 +4,7 @@
 
 use router_config::ConfigError;
 
+use crate::atomic_file::{WriteError, advice};
 use crate::program::ProgramError;
 use crate::sockets::SocketError;
 
@@ -37,8 +38,21 @@
         /// The reason.
         source: SocketError,
     },
-    /// A file of the results can't be written or read.
-    #[error("{}: {source}", path.display())]
+    /// A file can't be written.
+    #[error(transparent)]
+    Write(#[from] WriteError),
+    /// The report of a run can't be written.
+    #[error("{source}; {done} of {total} runs are kept, the same command goes on with the others")]
+    NotKept {
+        /// Number of runs that are kept.
+        done: usize,
+        /// Number of all runs.
+        total: usize,
+        /// What failed.
+        source: WriteError,
+    },
+    /// A file or folder of the results can't be read or made.
+    #[error("{}: {source}: {}", path.display(), advice(source))]
     File {
         /// The file.
         path: PathBuf,
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -17,7 +17,7 @@
 use crate::scenario::Scenario;
 
 pub use error::ExperimentError;
-pub use results::{Results, results};
+pub use results::{Results, incomplete_reports, results};
 pub use runner::{CompletedRun, run};
 
 /// Which driver runs the scenarios.
--- a/crates/testbed/src/experiment/results.rs
+++ b/crates/testbed/src/experiment/results.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
 use serde::{Deserialize, Serialize};
 
@@ -48,20 +48,50 @@
         Ok(_) => Err(ExperimentError::AnotherExperiment {
             folder: folder.into(),
         }),
-        Err(e) if e.kind() == ErrorKind::NotFound => {
-            write_atomically(&path, text.as_bytes()).map_err(ExperimentError::file(&path))
-        }
+        Err(e) if e.kind() == ErrorKind::NotFound => Ok(write_atomically(&path, text.as_bytes())?),
         Err(e) => Err(ExperimentError::file(&path)(e)),
     }
 }
 
-/// The report in a file, if it is complete. One that is cut off or has an older form counts as missing.
-pub(super) fn read_report(path: &Path) -> Option<Report> {
+/// What the file of a run holds.
+pub(super) enum StoredReport {
+    /// There is none.
+    Missing,
+    /// It is cut off or has an older form; the run is repeated.
+    Incomplete,
+    /// A report.
+    Complete(Box<Report>),
+}
+
+/// Reads the file of a run. One that can't be read is an error: it may hold a result.
+pub(super) fn read_report(path: &Path) -> Result<StoredReport, ExperimentError> {
     // A device can't be read to its end.
     if !path.is_file() {
-        return None;
+        return Ok(StoredReport::Missing);
+    }
+    let text = std::fs::read(path).map_err(ExperimentError::file(path))?;
+    Ok(match serde_json::from_slice(&text) {
+        Ok(report) => StoredReport::Complete(Box::new(report)),
+        Err(_) => StoredReport::Incomplete,
+    })
+}
+
+/// The files in the folder of an experiment that hold no complete report. Their runs are repeated.
+///
+/// # Errors
+/// If a file can't be read.
+pub fn incomplete_reports(
+    experiment: &Experiment,
+    folder: &Path,
+) -> Result<Vec<PathBuf>, ExperimentError> {
+    let mut incomplete = Vec::new();
+    for run in experiment.runs() {
+        let path = run.file(folder);
+        if let StoredReport::Incomplete = read_report(&path)? {
+            incomplete.push(path);
+        }
     }
-    serde_json::from_slice(&std::fs::read(path).ok()?).ok()
+    Ok(incomplete)
 }
 
 /// What the folder of an experiment holds.
@@ -71,6 +101,8 @@
     pub experiment: Experiment,
     /// The reports of its runs so far.
     pub reports: BTreeMap<Run, Report>,
+    /// Files that hold no complete report.
+    pub incomplete: Vec<PathBuf>,
 }
 
 /// Reads the folder of an experiment.
@@ -83,13 +115,20 @@
     let Plan { experiment, .. } =
         serde_json::from_slice(&text).map_err(|e| ExperimentError::file(&path)(e.into()))?;
     let mut reports = BTreeMap::new();
+    let mut incomplete = Vec::new();
     for run in experiment.runs() {
-        if let Some(report) = read_report(&run.file(folder)) {
-            reports.insert(run, report);
+        let path = run.file(folder);
+        match read_report(&path)? {
+            StoredReport::Missing => (),
+            StoredReport::Incomplete => incomplete.push(path),
+            StoredReport::Complete(report) => {
+                reports.insert(run, *report);
+            }
         }
     }
     Ok(Results {
         experiment,
         reports,
+        incomplete,
     })
 }
--- a/crates/testbed/src/experiment/runner.rs
+++ b/crates/testbed/src/experiment/runner.rs
@@ -6,8 +6,9 @@
 use std::sync::{Mutex, mpsc};
 use std::time::Duration;
 
-use super::results::{keep_plan, read_report};
+use super::results::{StoredReport, keep_plan, read_report};
 use super::{Driver, Experiment, ExperimentError, Run, Variant, commit_build, scenario_name};
+use crate::atomic_file::{create_folder, remove_leftovers};
 use crate::program::{self, ProgramError};
 use crate::report::Report;
 use crate::scenario::Scenario;
@@ -43,14 +44,18 @@
     stop: &AtomicBool,
     report_progress: impl FnMut(&CompletedRun),
 ) -> Result<(), ExperimentError> {
-    std::fs::create_dir_all(folder).map_err(ExperimentError::file(folder))?;
+    create_folder(folder).map_err(ExperimentError::file(folder))?;
+    remove_leftovers(folder).map_err(ExperimentError::file(folder))?;
     keep_plan(experiment, folder)?;
     let runs = experiment.runs();
     let total = runs.len();
-    let missing: VecDeque<Run> = runs
-        .into_iter()
-        .filter(|run| read_report(&run.file(folder)).is_none())
-        .collect();
+    let mut missing = VecDeque::new();
+    for run in runs {
+        match read_report(&run.file(folder))? {
+            StoredReport::Complete(_) => (),
+            StoredReport::Missing | StoredReport::Incomplete => missing.push_back(run),
+        }
+    }
     let mut runner = Runner {
         experiment,
         folder,
@@ -91,10 +96,16 @@
         })
     }
 
-    /// Saves the report of a run.
+    /// Saves the report of a run. It counts as completed once its file is stable.
     fn keep(&mut self, run: Run, report: &Report) -> Result<(), ExperimentError> {
         let path = run.file(self.folder);
-        report.save(&path).map_err(ExperimentError::file(&path))?;
+        report
+            .save(&path)
+            .map_err(|source| ExperimentError::NotKept {
+                done: self.done,
+                total: self.total,
+                source,
+            })?;
         self.done += 1;
         (self.report_progress)(&CompletedRun {
             run,
--- a/crates/testbed/src/html_report/mod.rs
+++ b/crates/testbed/src/html_report/mod.rs
@@ -6,7 +6,7 @@
 mod variant;
 
 use std::collections::BTreeMap;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
 use serde::Serialize;
 
@@ -44,6 +44,8 @@
     pub total: usize,
     /// Runs that violated an invariant.
     pub violations: Vec<Run>,
+    /// Files that hold no complete report; their runs are not among the completed ones.
+    pub incomplete: Vec<PathBuf>,
 }
 
 /// Reads the runs of an experiment's folder, and writes `results.jsonl` and `report.html` into it.
@@ -54,6 +56,7 @@
     let Results {
         experiment,
         reports,
+        incomplete,
     } = results(folder)?;
     let differences = compare::differences(&experiment, &reports);
     let lines =
@@ -71,6 +74,7 @@
         done: reports.len(),
         total: experiment.run_count(),
         violations,
+        incomplete,
     })
 }
 
@@ -90,5 +94,5 @@
 }
 
 fn write_file(path: &Path, text: &str) -> Result<(), ExperimentError> {
-    write_atomically(path, text.as_bytes()).map_err(ExperimentError::file(path))
+    Ok(write_atomically(path, text.as_bytes())?)
 }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -4,9 +4,9 @@
 //! ([`deployment`]) are the same in both.
 //!
 //! On top of the drivers: [`experiment`] runs scenarios, seeds and variants against each other, [`compare`] and
-//! [`html_report`] evaluate them; [`load`] generates load in real time, and [`baseline`] measures one node with it.
+//! [`html_report`] evaluate them; [`atomic_file`] writes what they keep; [`load`] generates load in real time, and [`baseline`] measures one node with it.
 
-mod atomic_file;
+pub mod atomic_file;
 pub mod baseline;
 pub mod clients;
 pub mod compare;
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -10,7 +10,7 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-use crate::atomic_file::write_atomically;
+use crate::atomic_file::{WriteError, WriteStep, write_atomically};
 
 /// Length of a window, in microseconds.
 pub const WINDOW: Micros = 5_000_000;
@@ -226,8 +226,13 @@
     ///
     /// # Errors
     /// If no file can be made beside it or there is no space; the old file is left as it was.
-    pub fn save(&self, path: &Path) -> std::io::Result<()> {
-        write_atomically(path, (serde_json::to_string(self)? + "\n").as_bytes())
+    pub fn save(&self, path: &Path) -> Result<(), WriteError> {
+        let line = serde_json::to_string(self).map_err(|e| WriteError {
+            path: path.into(),
+            step: WriteStep::Write,
+            source: e.into(),
+        })?;
+        write_atomically(path, (line + "\n").as_bytes())
     }
 
     /// Whether all invariants held.
