--- a/crates/routerctl/src/commands/acceptance.rs
+++ b/crates/routerctl/src/commands/acceptance.rs
@@ -8,6 +8,7 @@
 use clap::Args;
 
 use crate::outcome::{CommandResult, Outcome};
+use crate::output::{print_line, print_notice};
 
 #[derive(Args)]
 #[command(after_help = "Example:\n  routerctl acceptance")]
@@ -27,9 +28,9 @@
         None => Journal::read(&arguments.root.join("journal"))?,
     };
     for skipped in &journal.skipped {
-        eprintln!("routerctl: skipped {skipped}");
+        print_notice(format_args!("skipped {skipped}"));
     }
     let verdict = Verdict::of(&journal, &sources);
-    println!("{verdict}");
+    print_line(format_args!("{verdict}"))?;
     Ok(Outcome::passed_if(verdict.passed()))
 }
--- a/crates/routerctl/src/commands/check.rs
+++ b/crates/routerctl/src/commands/check.rs
@@ -6,6 +6,7 @@
 use router_config::{Config, ConfigError, Layers};
 
 use crate::outcome::{CommandError, CommandResult, Outcome};
+use crate::output::{print, print_line, print_notice};
 
 #[derive(Args)]
 #[command(after_help = "Examples:\n  routerctl check router.toml\n  \
@@ -51,7 +52,7 @@
         }
         Err(error @ ConfigError::Unreadable { .. }) => Err(error.into()),
         Err(error) => {
-            println!("{error}");
+            print_line(format_args!("{error}"))?;
             Ok(Outcome::Failed)
         }
     }
@@ -59,12 +60,12 @@
 
 fn print_valid(arguments: &Arguments, config: &Config) -> Result<(), CommandError> {
     if let Some(warning) = config.log.deprecated_variables.warning() {
-        eprintln!("routerctl: {warning}");
+        print_notice(format_args!("{warning}"));
     }
     if arguments.show {
-        print!("{}", toml::to_string(config)?);
+        print(format_args!("{}", toml::to_string(config)?))?;
     } else {
-        println!("{} is valid", arguments.file.display());
+        print_line(format_args!("{} is valid", arguments.file.display()))?;
     }
     Ok(())
 }
--- a/crates/routerctl/src/commands/completions.rs
+++ b/crates/routerctl/src/commands/completions.rs
@@ -4,7 +4,8 @@
 use clap_complete::Shell;
 
 use crate::Cli;
-use crate::outcome::Outcome;
+use crate::outcome::{CommandResult, Outcome};
+use crate::output::print;
 
 #[derive(Args)]
 #[command(after_help = "Example:\n  routerctl completions bash > /etc/bash_completion.d/routerctl")]
@@ -13,12 +14,15 @@
     shell: Shell,
 }
 
-pub fn run(arguments: &Arguments) -> Outcome {
+pub fn run(arguments: &Arguments) -> CommandResult {
+    // Into memory first: it panics where it cannot write.
+    let mut script = Vec::new();
     clap_complete::generate(
         arguments.shell,
         &mut Cli::command(),
         "routerctl",
-        &mut std::io::stdout(),
+        &mut script,
     );
-    Outcome::Passed
+    print(format_args!("{}", String::from_utf8_lossy(&script)))?;
+    Ok(Outcome::Passed)
 }
--- a/crates/routerctl/src/commands/demo.rs
+++ b/crates/routerctl/src/commands/demo.rs
@@ -2,8 +2,10 @@
 
 use clap::Args;
 use testbed::Scenario;
+use testbed::atomic_file::write_atomically;
 
-use crate::outcome::{CommandError, CommandResult, Outcome};
+use crate::outcome::{CommandError, CommandResult, Outcome, temporary_folder};
+use crate::output::{OutputError, print_line};
 use crate::socket_run::{self, SocketOptions};
 
 #[derive(Args)]
@@ -18,28 +20,28 @@
 
 pub fn run(arguments: &Arguments) -> CommandResult {
     let scenario = built_in_scenario()?;
-    print_introduction(&scenario);
+    print_introduction(&scenario)?;
     let report = socket_run::run(&scenario, arguments.seed, &arguments.sockets)?;
-    println!("\n{report}");
-    println!(
+    print_line(format_args!("\n{report}"))?;
+    print_line(format_args!(
         "The same in virtual time, or with one thing changed: `routerctl testbed run FILE` (docs/TESTBED.md)."
-    );
+    ))?;
     Ok(Outcome::passed_if(report.invariants_hold()))
 }
 
 /// The scenario is read from a file like any other, so that errors in it have their line.
 fn built_in_scenario() -> Result<Scenario, CommandError> {
-    let folder = tempfile::tempdir()?;
+    let folder = temporary_folder()?;
     let file = folder.path().join("demo.toml");
-    std::fs::write(&file, Scenario::DEMO)?;
+    write_atomically(&file, Scenario::DEMO.as_bytes())?;
     Ok(Scenario::read(&file)?)
 }
 
-fn print_introduction(scenario: &Scenario) {
+fn print_introduction(scenario: &Scenario) -> Result<(), OutputError> {
     let servers: u32 = scenario.kinds.iter().map(|kind| kind.servers).sum();
-    println!(
+    print_line(format_args!(
         "{} cache-router nodes on loopback in front of {servers} emulated cache servers, an origin and a discovery \
          service; {} client requests a second, for {}.",
         scenario.nodes, scenario.load.per_s, scenario.length
-    );
+    ))
 }
--- a/crates/routerctl/src/commands/margins.rs
+++ b/crates/routerctl/src/commands/margins.rs
@@ -6,6 +6,7 @@
 use clap::Args;
 
 use crate::outcome::{CommandResult, Outcome};
+use crate::output::{print, print_line};
 
 #[derive(Args)]
 #[command(after_help = "Example:\n  routerctl margins logs/join-11 logs/zone-11")]
@@ -30,11 +31,11 @@
             .to_string_lossy();
         let margins = margins::measure(folder)?;
         if !arguments.table {
-            println!("{name}\n{margins}");
+            print_line(format_args!("{name}\n{margins}"))?;
         }
         any_narrow |= margins.is_narrow();
         table += &margins.table(&name);
     }
-    print!("{table}");
+    print(format_args!("{table}"))?;
     Ok(Outcome::passed_if(!any_narrow))
 }
--- a/crates/routerctl/src/commands/mod.rs
+++ b/crates/routerctl/src/commands/mod.rs
@@ -38,6 +38,6 @@
         Command::Acceptance(arguments) => acceptance::run(&arguments),
         Command::Margins(arguments) => margins::run(&arguments),
         Command::Testbed(command) => testbed::run(command),
-        Command::Completions(arguments) => Ok(completions::run(&arguments)),
+        Command::Completions(arguments) => completions::run(&arguments),
     }
 }
--- a/crates/routerctl/src/commands/testbed/experiment.rs
+++ b/crates/routerctl/src/commands/testbed/experiment.rs
@@ -9,6 +9,7 @@
 
 use super::report;
 use crate::outcome::CommandResult;
+use crate::output::{OutputError, print_line, print_notice};
 
 #[derive(Args)]
 #[command(
@@ -31,21 +32,37 @@
     let threads = arguments.threads.map_or(cores, usize::from);
     let stop = Arc::new(AtomicBool::new(false));
     set_on_interrupt(stop.clone())?;
-    experiment::run(&experiment, &arguments.out, threads, &stop, print_step)?;
+    for path in experiment::incomplete_reports(&experiment, &arguments.out)? {
+        print_notice(format_args!(
+            "{} holds no complete report: its run is repeated",
+            path.display()
+        ));
+    }
+    let mut printed = Ok(());
+    let result = experiment::run(&experiment, &arguments.out, threads, &stop, |step| {
+        if printed.is_ok() {
+            printed = print_step(step);
+        }
+        if printed.is_err() {
+            stop.store(true, Ordering::Relaxed);
+        }
+    });
+    printed?;
+    result?;
     report::print(&arguments.out)
 }
 
-fn print_step(step: &CompletedRun) {
+fn print_step(step: &CompletedRun) -> Result<(), OutputError> {
     let Run {
         scenario,
         seed,
         variant,
     } = &step.run;
     let (completed, all) = (step.done, step.total);
-    println!(
+    print_line(format_args!(
         "{completed:>4} of {all}  {scenario}, seed {seed}, {variant}: service {:.4}",
         step.service
-    );
+    ))
 }
 
 /// Sets a flag at the first Ctrl-C.
--- a/crates/routerctl/src/commands/testbed/load.rs
+++ b/crates/routerctl/src/commands/testbed/load.rs
@@ -10,7 +10,8 @@
 use testbed::load::{self, Load, Outcome as LoadOutcome, StubServer};
 use testbed::program;
 
-use crate::outcome::{CommandError, CommandResult, Outcome};
+use crate::outcome::{CommandError, CommandResult, Outcome, temporary_folder};
+use crate::output::{OutputError, print_line};
 
 /// The lowest rate that may be asked for, in requests a second.
 const MIN_RATE: f64 = 1.0;
@@ -91,22 +92,26 @@
     let load = arguments.load();
     let servers = Servers::start(arguments)?;
     let targets = servers.targets(arguments.to);
-    print_header();
+    print_header()?;
     if !arguments.most {
         return measure(&servers, &targets, &load, &[load.per_s]);
     }
     let target = targets.last().ok_or(CommandError::NoTarget)?;
+    let mut printed = Ok(());
     let highest = baseline::max_sustained_rate(target.address, &load, |per_s, outcome| {
-        print_row(target, per_s, outcome, None);
+        if printed.is_ok() {
+            printed = print_row(target, per_s, outcome, None);
+        }
     })?;
+    printed?;
     if highest == 0.0 {
-        println!("{} sustains no rate", target.path);
+        print_line(format_args!("{} sustains no rate", target.path))?;
         return Ok(Outcome::Failed);
     }
-    println!(
+    print_line(format_args!(
         "{} sustains {highest:.0} requests a second; at a tenth, half and nine tenths of it:",
         target.path
-    );
+    ))?;
     let rates = PARTS_OF_MAXIMUM.map(|part| highest * part);
     measure(&servers, &targets, &load, &rates)
 }
@@ -124,7 +129,7 @@
 impl Servers {
     fn start(arguments: &Arguments) -> Result<Servers, CommandError> {
         let value_bytes = usize::from(arguments.value_bytes);
-        let folder = tempfile::tempdir()?;
+        let folder = temporary_folder()?;
         let mut through = None;
         let mut alone = None;
         if arguments.through {
@@ -204,33 +209,40 @@
                 .cpu_time(target)
                 .zip(cpu_before)
                 .map(|(after, before)| after.saturating_sub(before));
-            print_row(target, per_s, &outcome, cpu_used);
+            print_row(target, per_s, &outcome, cpu_used)?;
             all_sustained &= baseline::sustained(&outcome);
         }
     }
     Ok(Outcome::passed_if(all_sustained))
 }
 
-fn print_header() {
-    println!("latencies in microseconds, from the time that a request was scheduled for");
-    println!(
+fn print_header() -> Result<(), OutputError> {
+    print_line(format_args!(
+        "latencies in microseconds, from the time that a request was scheduled for"
+    ))?;
+    print_line(format_args!(
         "{:<7} {:>8} {:>8} {:>8} {:>7} {:>7} {:>7} {:>7} {:>9}",
         "path", "target/s", "served/s", "unserved", "p50", "p99", "p99.9", "max", "CPU us/r"
-    );
+    ))
 }
 
-fn print_row(target: &Target, per_s: f64, outcome: &LoadOutcome, cpu_used: Option<Duration>) {
+fn print_row(
+    target: &Target,
+    per_s: f64,
+    outcome: &LoadOutcome,
+    cpu_used: Option<Duration>,
+) -> Result<(), OutputError> {
     let latency_us = |quantile| outcome.latency.value_at_quantile(quantile) / 1_000;
     let max_us = outcome.latency.max() / 1_000;
     let cpu_us = cpu_used.map(|used| used.as_secs_f64() * 1e6 / outcome.served.max(1) as f64);
     let cpu_us = cpu_us.map_or(String::new(), |us| format!("{us:.1}"));
     let unserved = outcome.intended - outcome.served;
-    println!(
+    print_line(format_args!(
         "{:<7} {per_s:>8.0} {:>8.0} {unserved:>8} {:>7} {:>7} {:>7} {max_us:>7} {cpu_us:>9}",
         target.path,
         outcome.per_s(),
         latency_us(0.5),
         latency_us(0.99),
         latency_us(0.999),
-    );
+    ))
 }
--- a/crates/routerctl/src/commands/testbed/report.rs
+++ b/crates/routerctl/src/commands/testbed/report.rs
@@ -7,6 +7,7 @@
 use testbed::html_report::{self, Summary};
 
 use crate::outcome::{CommandResult, Outcome};
+use crate::output::{OutputError, print_line};
 
 /// The metric whose differences are printed; the page has all of them.
 const PRINTED_METRIC: &str = "service";
@@ -25,37 +26,46 @@
 /// Writes the page of an experiment's folder and prints the differences between its variants.
 pub fn print(folder: &Path) -> CommandResult {
     let summary = html_report::write(folder)?;
-    print_differences(&summary);
+    print_differences(&summary)?;
     for Run {
         scenario,
         seed,
         variant,
     } in &summary.violations
     {
-        println!("RULES BROKEN: {scenario}, seed {seed}, {variant}");
+        print_line(format_args!(
+            "RULES BROKEN: {scenario}, seed {seed}, {variant}"
+        ))?;
+    }
+    for path in &summary.incomplete {
+        print_line(format_args!(
+            "INCOMPLETE: {}: run the experiment again to repeat it",
+            path.display()
+        ))?;
     }
     let (completed, all) = (summary.done, summary.total);
-    println!(
+    print_line(format_args!(
         "{completed} of {all} runs; {} and results.jsonl beside it",
         folder.join("report.html").display()
-    );
+    ))?;
     Ok(Outcome::passed_if(
         summary.violations.is_empty() && completed == all,
     ))
 }
 
-fn print_differences(summary: &Summary) {
-    println!(
+fn print_differences(summary: &Summary) -> Result<(), OutputError> {
+    print_line(format_args!(
         "{:<16} {:<16} {:>5} {:>8} {:>8}   95% interval",
         "scenario", "variant", "pairs", "service", "diff."
-    );
+    ))?;
     let differences = summary.differences.iter();
     for difference in differences.filter(|difference| difference.metric == PRINTED_METRIC) {
         let (low, high) = (difference.interval.low, difference.interval.high);
         let service = difference.baseline_mean + difference.mean_difference;
-        println!(
+        print_line(format_args!(
             "{:<16} {:<16} {:>5} {service:>8.4} {:>+8.4}   {low:+.4} to {high:+.4}",
             difference.scenario, difference.variant, difference.pairs, difference.mean_difference
-        );
+        ))?;
     }
+    Ok(())
 }
--- a/crates/routerctl/src/commands/testbed/run.rs
+++ b/crates/routerctl/src/commands/testbed/run.rs
@@ -6,6 +6,7 @@
 use testbed::{Scenario, virtual_time};
 
 use crate::outcome::{CommandError, CommandResult, Outcome};
+use crate::output::print;
 use crate::socket_run::{self, SocketOptions};
 
 #[derive(Args)]
@@ -41,7 +42,7 @@
     } else {
         virtual_time::run(&scenario, seed)
     };
-    print!("{report}");
+    print(format_args!("{report}"))?;
     if let Some(path) = &arguments.json {
         report.save(path)?;
     }
--- a/crates/routerctl/src/outcome.rs
+++ b/crates/routerctl/src/outcome.rs
@@ -7,11 +7,14 @@
 use acceptance::margins::MarginsError;
 use acceptance::sources::SourceError;
 use router_config::ConfigError;
-use testbed::atomic_file::WriteError;
+use tempfile::TempDir;
+use testbed::atomic_file::{WriteError, advice};
 use testbed::experiment::ExperimentError;
 use testbed::program::ProgramError;
 use testbed::sockets::SocketError;
 
+use crate::output::OutputError;
+
 /// What a command found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
@@ -70,11 +73,22 @@
     /// The operating system refused something.
     #[error(transparent)]
     System(#[from] std::io::Error),
+    /// Standard output cannot be written.
+    #[error(transparent)]
+    Output(#[from] OutputError),
     /// A file cannot be written.
     #[error("cannot write {0}")]
     Write(#[from] WriteError),
+    /// The folder for the files of a run cannot be created.
+    #[error(
+        "cannot create a temporary folder: {source}: free space there or set TMPDIR to another folder"
+    )]
+    TemporaryFolder {
+        /// The operating system's error, which names the folder.
+        source: std::io::Error,
+    },
     /// A folder cannot be created.
-    #[error("cannot create {}: {source}", path.display())]
+    #[error("cannot create {}: {source}: {}", path.display(), advice(source))]
     CreateFolder {
         /// Path of the folder.
         path: PathBuf,
@@ -89,5 +103,17 @@
     NoTarget,
 }
 
+impl CommandError {
+    /// Whether it is only that the reader of standard output has gone.
+    pub fn reader_is_gone(&self) -> bool {
+        matches!(self, CommandError::Output(error) if error.reader_is_gone())
+    }
+}
+
+/// A folder for the files of one run.
+pub fn temporary_folder() -> Result<TempDir, CommandError> {
+    tempfile::tempdir().map_err(|source| CommandError::TemporaryFolder { source })
+}
+
 /// The result of a command.
 pub type CommandResult = Result<Outcome, CommandError>;
--- a/crates/routerctl/src/progress.rs
+++ b/crates/routerctl/src/progress.rs
@@ -1,10 +1,13 @@
 //! Shows how far a run on sockets is: a bar on a terminal, else a line every few seconds.
 
-use std::cell::Cell;
+use std::cell::{Cell, RefCell};
 
 use indicatif::{ProgressBar, ProgressStyle};
 use testbed::Scenario;
 use testbed::sockets::Progress;
+use tokio::sync::Notify;
+
+use crate::output::{OutputError, print_line};
 
 /// Time between two lines where there is no terminal, in microseconds.
 const LINE_INTERVAL_US: u64 = 5_000_000;
@@ -16,6 +19,10 @@
     bar: ProgressBar,
     /// Number of the last interval for which a line was printed.
     last_interval: Cell<u64>,
+    /// Why a line was not printed.
+    failure: RefCell<Option<OutputError>>,
+    /// Notified once a line was not printed.
+    failed: Notify,
 }
 
 impl ProgressDisplay {
@@ -27,6 +34,8 @@
         ProgressDisplay {
             bar: bar.with_style(style),
             last_interval: Cell::new(0),
+            failure: RefCell::new(None),
+            failed: Notify::new(),
         }
     }
 
@@ -46,7 +55,7 @@
         let interval = elapsed_us / LINE_INTERVAL_US;
         if self.bar.is_hidden() && interval > self.last_interval.get() {
             self.last_interval.set(interval);
-            println!("{seconds:>5.1} s  {status}");
+            self.print_line(&format!("{seconds:>5.1} s  {status}"));
         }
         self.bar.set_message(status);
         self.bar.set_position(elapsed_us / 1_000);
@@ -55,11 +64,28 @@
     /// Prints a line without disturbing the bar.
     fn print(&self, line: &str) {
         if self.bar.is_hidden() {
-            println!("{line}");
+            self.print_line(line);
         } else {
             self.bar.println(line);
         }
     }
+
+    fn print_line(&self, line: &str) {
+        if let Err(error) = print_line(format_args!("{line}")) {
+            self.failure.borrow_mut().get_or_insert(error);
+            self.failed.notify_one();
+        }
+    }
+
+    /// Waits until a line could not be printed.
+    pub async fn failed(&self) {
+        self.failed.notified().await;
+    }
+
+    /// Why a line could not be printed, if one could not.
+    pub fn into_result(self) -> Result<(), OutputError> {
+        self.failure.take().map_or(Ok(()), Err)
+    }
 }
 
 impl Drop for ProgressDisplay {
--- a/crates/routerctl/src/socket_run.rs
+++ b/crates/routerctl/src/socket_run.rs
@@ -6,7 +6,7 @@
 use testbed::sockets::{self, Options};
 use testbed::{Report, Scenario, program};
 
-use crate::outcome::CommandError;
+use crate::outcome::{CommandError, temporary_folder};
 use crate::progress::ProgressDisplay;
 
 /// Options of a run on sockets.
@@ -27,14 +27,15 @@
     }
 }
 
-/// Runs a scenario on sockets and shows its progress. Ctrl-C ends it.
+/// Runs a scenario on sockets and shows its progress. Ctrl-C ends it, and so does an output that can't be
+/// written.
 pub fn run(
     scenario: &Scenario,
     seed: u64,
     options: &SocketOptions,
 ) -> Result<Report, CommandError> {
     let program = program::find(options.node.as_deref())?;
-    let temporary = tempfile::tempdir()?;
+    let temporary = temporary_folder()?;
     let folder = options.logs.as_deref().unwrap_or(temporary.path());
     std::fs::create_dir_all(folder).map_err(|source| CommandError::CreateFolder {
         path: folder.into(),
@@ -48,9 +49,16 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    let interrupted = async { drop(tokio::signal::ctrl_c().await) };
+    let interrupted = async {
+        tokio::select! {
+            _ = tokio::signal::ctrl_c() => (),
+            () = display.failed() => (),
+        }
+    };
     let run = sockets::run(scenario, seed, &run_options, interrupted, |progress| {
         display.show(progress);
     });
-    Ok(runtime.block_on(run)?)
+    let result = runtime.block_on(run);
+    display.into_result()?;
+    Ok(result?)
 }
