--- a/crates/cache-router/tests/router_process/main.rs
+++ b/crates/cache-router/tests/router_process/main.rs
@@ -9,6 +9,7 @@
 mod configuration;
 mod connection_limits;
 mod endpoint_lists;
+mod production;
 mod requests;
 mod server_failures;
 mod shutdown;
