--- a/crates/cache-router/tests/router_process/production.rs
+++ b/crates/cache-router/tests/router_process/production.rs
@@ -214,3 +214,32 @@
     println!("{served} of 100 misses fetched");
     assert_eq!(served, 100);
 }
+
+#[test]
+fn with_servers_that_hang_through_a_whole_shutdown_all_requests_have_replies() {
+    let cache = cache_server(|_| Behaviour::Hang);
+    let origin = origin_server(|_| Behaviour::Hang);
+    let mut cluster = Cluster::start(cache, origin);
+    let mut clients: Vec<_> = (0..20).map(|_| cluster.client()).collect();
+    let (before, after) = clients.split_at_mut(10);
+    for (id, client) in before.iter_mut().enumerate() {
+        client.send(&read("aa", &id.to_string()));
+    }
+    cluster.cache.next_request();
+    cluster.router.terminate();
+    let since = Instant::now();
+    for (id, client) in after.iter_mut().enumerate() {
+        client.send(&write("aa", &format!("a{id}"), "v"));
+    }
+    let replies = clients.iter_mut().map(|client| client.reply());
+    let replied = replies.flatten().count();
+    let last_reply = since.elapsed();
+    cluster.router.assert_exits_with_success();
+    println!(
+        "{replied} of 20 replies within {last_reply:?}, the end after {:?}",
+        since.elapsed()
+    );
+    assert_eq!(replied, 20);
+    // Far from the deadline of eight seconds: the platform kills after 3.7 s.
+    assert!(last_reply < Duration::from_secs(6), "{last_reply:?}");
+}
