--- a/crates/cache-router/tests/router_process/production.rs
+++ b/crates/cache-router/tests/router_process/production.rs
@@ -243,3 +243,21 @@
     // Far from the deadline of eight seconds: the platform kills after 3.7 s.
     assert!(last_reply < Duration::from_secs(6), "{last_reply:?}");
 }
+
+#[test]
+fn whole_answers_without_a_length_are_forwarded() {
+    let origin =
+        origin_server(|_| Behaviour::RespondAndClose(b"HTTP/1.1 200 OK\r\n\r\nwhole".to_vec()));
+    let cluster = Cluster::start(cache_server(|_| Behaviour::Respond(miss())), origin);
+    let mut client = cluster.client();
+    let served = (0..20)
+        .filter(|id| {
+            client
+                .ask(&read(&format!("{id:x}"), &id.to_string()))
+                .unwrap()
+                == "whole"
+        })
+        .count();
+    println!("{served} of 20 forwarded");
+    assert!(served >= 10);
+}
