--- a/crates/cache-router/tests/router_process/main.rs
+++ b/crates/cache-router/tests/router_process/main.rs
@@ -11,6 +11,7 @@
 mod endpoint_lists;
 mod final_replies;
 mod log;
+mod production;
 mod requests;
 mod server_failures;
 mod shutdown;
