--- a/crates/router-config/src/logging/line_queue.rs
+++ b/crates/router-config/src/logging/line_queue.rs
@@ -163,9 +163,17 @@
     fn write_lines(&self) {
         let mut log = lock(&self.log);
         let mut can_write = true;
+        // Whether a line was written in part only.
+        let mut is_line_open = false;
         loop {
-            let line = self.next_line(can_write);
-            can_write = write_line(&mut **log, &line.bytes).is_ok();
+            let mut line = self.next_line(can_write);
+            if is_line_open {
+                // What there is of the other line stays a line of its own.
+                line.bytes.insert(0, b'\n');
+            }
+            let written = write_line(&mut **log, &line.bytes);
+            can_write = written == Written::Whole;
+            is_line_open = written == Written::Part || (is_line_open && !can_write);
             if !can_write {
                 lock(&self.state).dropped += line.stands_for;
             }
@@ -209,20 +217,29 @@
     }
 }
 
+/// How much of a line was written.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Written {
+    Whole,
+    Part,
+    Nothing,
+}
+
 /// Writes a whole line, also if the log takes only a part of it at a time.
-fn write_line(log: &mut dyn Write, mut line: &[u8]) -> io::Result<()> {
-    while !line.is_empty() {
-        match log.write(line) {
-            Ok(0) => return Err(ErrorKind::WriteZero.into()),
-            Ok(written) => line = &line[written..],
+fn write_line(log: &mut dyn Write, line: &[u8]) -> Written {
+    let mut rest = line;
+    while !rest.is_empty() {
+        match log.write(rest) {
+            Ok(count) if count > 0 => rest = &rest[count..],
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(error) if error.kind() == ErrorKind::WouldBlock => {
                 thread::sleep(WOULD_BLOCK_PAUSE);
             }
-            Err(error) => return Err(error),
+            Ok(_) | Err(_) if rest.len() < line.len() => return Written::Part,
+            Ok(_) | Err(_) => return Written::Nothing,
         }
     }
-    log.flush()
+    Written::Whole
 }
 
 /// Locks a mutex, also after a panic: lines and counts are whole at any time.
--- a/crates/router-config/tests/line_queue.rs
+++ b/crates/router-config/tests/line_queue.rs
@@ -134,3 +134,17 @@
     wait_until_written(&queue);
     assert_eq!(written.text(), "whole line\n");
 }
+
+#[test]
+fn what_is_written_of_a_line_before_the_disk_is_full_spoils_no_other_line() {
+    let full = Err(ErrorKind::StorageFull);
+    let (queue, written) = failing_log(&[Ok(4), full, full]);
+    queue.push(b"lost line\n".to_vec());
+    queue.push(b"another lost line\n".to_vec());
+    queue.push(b"whole line\n".to_vec());
+    wait_until_written(&queue);
+    let text = written.text();
+    let lines: Vec<_> = text.lines().collect();
+    assert_eq!(lines[..2], ["lost", "whole line"]);
+    assert!(lines[2].contains("2 lines could not be written"), "{text}");
+}
