--- a/crates/cache-router/src/origin_protocol.rs
+++ b/crates/cache-router/src/origin_protocol.rs
@@ -55,12 +55,38 @@
     }
     let body = if head.chunked {
         decode_chunked_body(buffer, &head)?
+    } else if head.ends_with_connection() {
+        check_unfinished_body(buffer, &head)?;
+        None
     } else {
         take_sized_body(buffer, &head)?
     };
     Ok(body.map(|body| response(&head, body, load_names)))
 }
 
+/// Takes the response that has just ended in order with its connection: one without a length has its end there. `None`
+/// if what came is not a whole response. A connection that was reset has not ended in order, and shows no end.
+pub fn decode_at_end(buffer: &mut BytesMut, load_names: &[String]) -> Option<ServerResponse> {
+    let head = http::parse_head(buffer).ok()??;
+    if !head.ends_with_connection() {
+        return None;
+    }
+    let _ = buffer.split_to(head.head_length);
+    let body = Body {
+        content: buffer.split().freeze(),
+        reusable: false,
+    };
+    Some(response(&head, body, load_names))
+}
+
+/// Checks that a body which ends with its connection is not longer than any value.
+fn check_unfinished_body(buffer: &[u8], head: &ResponseHead) -> Result<(), ProtocolError> {
+    if buffer.len() - head.head_length > MAX_VALUE_BYTES {
+        return Err(ProtocolError);
+    }
+    Ok(())
+}
+
 /// The body of a response, and whether the connection can carry another request after it.
 struct Body {
     content: Bytes,
@@ -87,17 +113,16 @@
     Ok(None)
 }
 
-/// Takes a response with a body of a stated length off the buffer; `None` while it is incomplete.
+/// Takes a response with a body of a stated length, or without a value, off the buffer; `None` while it is incomplete.
 fn take_sized_body(
     buffer: &mut BytesMut,
     head: &ResponseHead,
 ) -> Result<Option<Body>, ProtocolError> {
     let (length, reusable) = match head.content_length {
         Some(length) if length <= MAX_VALUE_BYTES => (length, !head.close),
+        Some(_) => return Err(ProtocolError),
         // Of a response without a value, the head tells all.
-        None if head.status != STATUS_OK => (0, false),
-        // A value that ends with its connection can't be told from one that was cut off.
-        _ => return Err(ProtocolError),
+        None => (0, false),
     };
     if buffer.len() < head.head_length + length {
         return Ok(None);
@@ -107,6 +132,13 @@
     Ok(Some(Body { content, reusable }))
 }
 
+impl ResponseHead {
+    /// Whether the response has a value that ends where its connection does.
+    fn ends_with_connection(&self) -> bool {
+        self.status == STATUS_OK && !self.chunked && self.content_length.is_none()
+    }
+}
+
 fn response(head: &ResponseHead, body: Body, load_names: &[String]) -> ServerResponse {
     let status = match head.status {
         STATUS_OK => AttemptStatus::Served,
--- a/crates/cache-router/src/server_connection.rs
+++ b/crates/cache-router/src/server_connection.rs
@@ -234,7 +234,8 @@
             }
             buffer.reserve(READ_CAPACITY);
             if stream.read_buf(buffer).await? == 0 {
-                return Err(io::ErrorKind::UnexpectedEof.into());
+                let last = self.decode_at_end(buffer);
+                break last.ok_or(io::ErrorKind::UnexpectedEof)?;
             }
         };
         // Bytes beyond the response belong to no request: nothing after them could be matched.
@@ -254,6 +255,15 @@
             ServerProtocol::Http => origin_protocol::decode(buffer, load_names),
         }
     }
+
+    /// The response that ended in order with its connection, if there is one.
+    fn decode_at_end(&self, buffer: &mut BytesMut) -> Option<ServerResponse> {
+        let load_names = &self.context.deployment.load_names;
+        match self.protocol {
+            ServerProtocol::Resp => None,
+            ServerProtocol::Http => origin_protocol::decode_at_end(buffer, load_names),
+        }
+    }
 }
 
 /// The event of a connection that was lost by an error, while it carried a request that was written so far.
--- a/crates/routerctl/src/commands/margins.rs
+++ b/crates/routerctl/src/commands/margins.rs
@@ -36,8 +36,7 @@
     }
     print(format_args!("{table}"))?;
     if !arguments.table {
-        print(format_args!("
-{}", margins::LEGEND))?;
+        print(format_args!("\n{}", margins::LEGEND))?;
     }
     Ok(Outcome::passed_if(!any_narrow))
 }
