--- a/crates/fault-plan/src/plan.rs
+++ b/crates/fault-plan/src/plan.rs
@@ -99,11 +99,8 @@
         Ok(serde_json::from_slice(&text)?)
     }
 
-    /// The plan as JSON.
-    ///
-    /// # Errors
-    /// If the path of its state file is not valid Unicode.
-    pub fn to_json(&self) -> Result<String, PlanError> {
-        Ok(serde_json::to_string(self)?)
+    /// The plan as JSON, without the path of a state file that is not valid Unicode.
+    pub fn to_json(&self) -> String {
+        serde_json::to_string(self).unwrap_or_default()
     }
 }
--- a/crates/testbed/src/experiment/commit_build.rs
+++ b/crates/testbed/src/experiment/commit_build.rs
@@ -44,6 +44,7 @@
 impl CommitBuild<'_> {
     fn failed(&self, reason: &dyn std::fmt::Display) -> ProgramError {
         ProgramError::Build {
+            package: "cache-router",
             details: format!(" at {}: {reason}", self.commit),
         }
     }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -193,6 +193,17 @@
     pub latency: LatencyPercentiles,
 }
 
+/// What a fault of the scenario did to the system calls of the nodes, over all their processes.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct InjectedFault {
+    /// The fault, by its place in the scenario.
+    pub event: usize,
+    /// Calls that it could have hit. Of a stepped clock, readings of clocks that were off.
+    pub calls: u64,
+    /// Calls that it did hit.
+    pub injected: u64,
+}
+
 /// The result of a run.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
@@ -219,6 +230,9 @@
     /// Number of all violations.
     #[serde(rename = "broken_in_all")]
     pub violation_count: usize,
+    /// What was injected into the system calls of nodes.
+    #[serde(default, rename = "injected", skip_serializing_if = "Vec::is_empty")]
+    pub injected_faults: Vec<InjectedFault>,
 }
 
 impl Report {
@@ -282,6 +296,17 @@
         Ok(())
     }
 
+    fn write_injected_faults(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        self.injected_faults.iter().try_for_each(|fault| {
+            let InjectedFault {
+                event,
+                calls,
+                injected,
+            } = fault;
+            writeln!(f, "event {event} hit {injected} of {calls} system calls")
+        })
+    }
+
     fn write_violations(&self, f: &mut Formatter<'_>) -> fmt::Result {
         if self.invariants_hold() {
             return writeln!(f, "rules kept");
@@ -310,6 +335,7 @@
         writeln!(f, "served in time, by worth: {service:.4}")?;
         self.write_windows(f)?;
         self.write_classes(f)?;
+        self.write_injected_faults(f)?;
         self.write_violations(f)
     }
 }
--- a/crates/testbed/src/scenario/fault_event.rs
+++ b/crates/testbed/src/scenario/fault_event.rs
@@ -2,6 +2,7 @@
 
 use std::fmt::{self, Display, Formatter};
 
+use fault_plan::{DescriptorKind, ErrorName, SystemCall};
 use router_config::Span;
 use serde::{Deserialize, Serialize};
 
@@ -15,6 +16,47 @@
     Early,
 }
 
+/// Whose wall clock is stepped.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub enum ClockOwner {
+    /// Machines of nodes.
+    #[default]
+    Nodes,
+    /// The machine of the endpoint list service.
+    Discovery,
+    /// Both.
+    All,
+}
+
+impl ClockOwner {
+    /// Whether machines of nodes are among them.
+    pub fn includes_nodes(self) -> bool {
+        self != ClockOwner::Discovery
+    }
+
+    /// Whether the machine of the endpoint list service is among them.
+    pub fn includes_discovery(self) -> bool {
+        self != ClockOwner::Nodes
+    }
+}
+
+/// The calls that `short-counts` concerns unless it names some.
+fn default_transfers() -> Vec<SystemCall> {
+    vec![
+        SystemCall::Recv,
+        SystemCall::Read,
+        SystemCall::Readv,
+        SystemCall::Send,
+        SystemCall::Write,
+        SystemCall::Writev,
+    ]
+}
+
+fn all() -> f64 {
+    1.0
+}
+
 /// A fault, and when it is injected. A `part` is a fraction, 0 to 1; members are picked at random.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case", deny_unknown_fields)]
@@ -181,6 +223,58 @@
         /// For how long.
         lasts: Span,
     },
+    /// System calls of a part of the nodes fail. One `at` 0s is there before the nodes start. It has an effect on sockets
+    /// only: the policy makes no system calls.
+    SystemCalls {
+        /// When.
+        at: Span,
+        /// Part of the nodes.
+        #[serde(default = "all")]
+        part: f64,
+        /// The calls.
+        calls: Vec<SystemCall>,
+        /// What calls that transfer bytes have to work on to fail.
+        #[serde(default)]
+        on: DescriptorKind,
+        /// The errors that they fail with.
+        errors: Vec<ErrorName>,
+        /// Part of the calls that fails.
+        rate: f64,
+        /// For how long.
+        lasts: Span,
+    },
+    /// System calls of a part of the nodes transfer fewer bytes than they could. As `system-calls` in all else.
+    ShortCounts {
+        /// When.
+        at: Span,
+        /// Part of the nodes.
+        #[serde(default = "all")]
+        part: f64,
+        /// The calls.
+        #[serde(default = "default_transfers")]
+        calls: Vec<SystemCall>,
+        /// What they have to work on.
+        #[serde(default)]
+        on: DescriptorKind,
+        /// Part of the calls that is cut short.
+        rate: f64,
+        /// For how long.
+        lasts: Span,
+    },
+    /// Wall clocks are stepped, and stay so. One `at` 0s is there before the nodes start. It has an effect on sockets
+    /// only: in virtual time there is one clock.
+    StepClock {
+        /// When.
+        at: Span,
+        /// Whose.
+        #[serde(default)]
+        who: ClockOwner,
+        /// Part of the nodes, where theirs are stepped.
+        #[serde(default = "all")]
+        part: f64,
+        /// By how many seconds; back where negative.
+        by_s: f64,
+    },
 }
 
 impl FaultEvent {
@@ -202,7 +296,10 @@
             | FaultEvent::MalformedTraffic { at, .. }
             | FaultEvent::HotKey { at, .. }
             | FaultEvent::Scan { at, .. }
-            | FaultEvent::NoisyNeighbour { at, .. } => *at,
+            | FaultEvent::NoisyNeighbour { at, .. }
+            | FaultEvent::SystemCalls { at, .. }
+            | FaultEvent::ShortCounts { at, .. }
+            | FaultEvent::StepClock { at, .. } => *at,
         }
     }
 }
@@ -216,6 +313,12 @@
     }
 }
 
+/// Things in words, with commas, for messages.
+fn join<T: Display>(things: &[T]) -> String {
+    let words: Vec<String> = things.iter().map(T::to_string).collect();
+    words.join(", ")
+}
+
 impl FaultEvent {
     /// Who is affected, for messages.
     fn subject(&self) -> String {
@@ -225,9 +328,16 @@
             }
             FaultEvent::KillNodes { part, .. }
             | FaultEvent::PauseNodes { part, .. }
-            | FaultEvent::RestartNodes { part, .. } => {
+            | FaultEvent::RestartNodes { part, .. }
+            | FaultEvent::SystemCalls { part, .. }
+            | FaultEvent::ShortCounts { part, .. } => {
                 format!("{} of the nodes", Percent(*part))
             }
+            FaultEvent::StepClock { who, part, .. } => match who {
+                ClockOwner::Nodes => format!("the clocks of {} of the nodes", Percent(*part)),
+                ClockOwner::Discovery => "the list service's clock".into(),
+                ClockOwner::All => "all clocks".into(),
+            },
             FaultEvent::RelocateList { .. } | FaultEvent::ListDown { .. } => {
                 "the list service".into()
             }
@@ -291,6 +401,23 @@
                 let taken = Percent(*taken);
                 format!("take {taken} of {part} of the cache servers for {lasts}")
             }
+            FaultEvent::SystemCalls {
+                calls,
+                errors,
+                rate,
+                lasts,
+                ..
+            } => {
+                let (rate, calls, errors) = (Percent(*rate), join(calls), join(errors));
+                format!("have {rate} of {calls} fail with {errors} for {lasts}")
+            }
+            FaultEvent::ShortCounts {
+                calls, rate, lasts, ..
+            } => {
+                let (rate, calls) = (Percent(*rate), join(calls));
+                format!("have {rate} of {calls} cut short for {lasts}")
+            }
+            FaultEvent::StepClock { by_s, .. } => format!("step by {by_s:+} s"),
         }
     }
 }
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -11,7 +11,7 @@
 use router_config::{ConfigError, Span};
 use serde::{Deserialize, Serialize};
 
-pub use fault_event::{FaultEvent, OriginFailure};
+pub use fault_event::{ClockOwner, FaultEvent, OriginFailure};
 
 /// After a node was told to end, the load balancer still sends it new requests for this long.
 pub(crate) const DEREGISTRATION_DELAY: Duration = Duration::from_millis(300);
--- a/crates/testbed/src/scenario/validation.rs
+++ b/crates/testbed/src/scenario/validation.rs
@@ -1,5 +1,6 @@
 //! Checks a scenario for values that have the right type and yet are not possible.
 
+use fault_plan::SystemCall;
 use router_config::Span;
 
 use super::{FaultEvent, Scenario};
@@ -14,6 +15,8 @@
 const MAX_ZONES: u8 = 16;
 /// Largest number of malformed connections per second.
 const MAX_MALFORMED_PER_S: f64 = 1_000.0;
+/// Largest step of a wall clock, in seconds: a year.
+const MAX_CLOCK_STEP_S: f64 = 31_536_000.0;
 
 /// A key with an impossible value, and what was found and what to write, as `router_config::read_toml` takes it.
 type Finding = Option<(String, String)>;
@@ -158,7 +161,56 @@
             FaultEvent::Burst { factor, .. } => self.positive("factor", factor),
             FaultEvent::IsolateZone { zone, .. } => self.zone(zone, zones),
             FaultEvent::ListDown { .. } | FaultEvent::RelocateList { .. } => None,
+            FaultEvent::SystemCalls {
+                part,
+                ref calls,
+                ref errors,
+                rate,
+                ..
+            } => self
+                .fraction("part", part)
+                .or_else(|| self.fraction("rate", rate))
+                .or_else(|| self.some_of("calls", calls, "recv"))
+                .or_else(|| self.some_of("errors", errors, "EINTR")),
+            FaultEvent::ShortCounts {
+                part,
+                ref calls,
+                rate,
+                ..
+            } => self
+                .fraction("part", part)
+                .or_else(|| self.fraction("rate", rate))
+                .or_else(|| self.some_of("calls", calls, "recv"))
+                .or_else(|| self.transfers(calls)),
+            FaultEvent::StepClock { part, by_s, .. } => self
+                .fraction("part", part)
+                .or_else(|| self.clock_step(by_s)),
+        }
+    }
+
+    fn some_of<T>(&self, name: &str, values: &[T], example: &str) -> Finding {
+        if !values.is_empty() {
+            return None;
+        }
+        let problem = format!("found none: write one or more, such as [\"{example}\"]");
+        found(&self.key(name), problem)
+    }
+
+    fn transfers(&self, calls: &[SystemCall]) -> Finding {
+        let other = calls.iter().find(|call| !call.transfers_bytes())?;
+        let problem =
+            format!("found {other}, which transfers no bytes: write calls such as recv or send");
+        found(&self.key("calls"), problem)
+    }
+
+    fn clock_step(&self, by_s: f64) -> Finding {
+        if by_s.abs() <= MAX_CLOCK_STEP_S {
+            return None;
         }
+        let problem = format!(
+            "found {by_s}: write seconds, {MAX_CLOCK_STEP_S} at most, negative to step back"
+        );
+        found(&self.key("by_s"), problem)
     }
 
     fn malformed_rate(&self, per_s: f64) -> Finding {
--- a/crates/testbed/src/sockets/driver/faults.rs
+++ b/crates/testbed/src/sockets/driver/faults.rs
@@ -59,6 +59,12 @@
             FaultEvent::MalformedTraffic { per_s, lasts, .. } => {
                 self.begin_malformed_traffic(now, per_s, lasts)
             }
+            FaultEvent::SystemCalls { lasts, .. } | FaultEvent::ShortCounts { lasts, .. } => {
+                self.begin_system_fault(now, index, lasts);
+            }
+            FaultEvent::StepClock { who, by_s, .. } => {
+                self.begin_clock_step(now, index, who, by_s);
+            }
         }
     }
 
--- a/crates/testbed/src/sockets/driver/mod.rs
+++ b/crates/testbed/src/sockets/driver/mod.rs
@@ -11,6 +11,7 @@
 mod schedule;
 mod servers;
 mod setup;
+mod system_faults;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,6 +33,9 @@
 use crate::scenario::Scenario;
 use load_balancer::LoadBalancer;
 use schedule::Scheduled;
+use system_faults::SystemFaults;
+
+pub(super) use system_faults::needs_fault_injector;
 
 /// After the last client's arrival the run goes on until all are answered, for this long at most, in microseconds.
 const MAX_TAIL: Micros = 10_000_000;
@@ -77,6 +81,7 @@
 struct RandomStreams {
     malformed_traffic: RandomStream,
     node_seeds: RandomStream,
+    system_faults: RandomStream,
 }
 
 impl RandomStreams {
@@ -86,6 +91,7 @@
         RandomStreams {
             malformed_traffic: random_stream(seed, malformed_traffic),
             node_seeds: random_stream(seed, Stream::Nodes as u64),
+            system_faults: random_stream(seed, Stream::Nodes as u64 + SOCKETS_STREAM_OFFSET),
         }
     }
 }
@@ -113,6 +119,7 @@
     message_sender: mpsc::Sender<Message>,
     messages: mpsc::Receiver<Message>,
     random: RandomStreams,
+    system_faults: SystemFaults,
     /// Faults and recoveries for the next progress, in words.
     progress_messages: Vec<String>,
     /// What went wrong beside the protocol's invariants, in words.
@@ -227,6 +234,7 @@
     /// The report of a run that has ended.
     pub(super) fn into_report(mut self, seed: u64) -> Report {
         let now = self.shared.now();
+        let injected_faults = self.injected_faults();
         let mut state = self.shared.state();
         let mut violations = report::violations(state.end(now), self.begin);
         let violation_count = violations.count + self.failures.len();
@@ -243,6 +251,7 @@
             events: self.schedule.scheduled_count(),
             violations: violations.shown,
             violation_count,
+            injected_faults,
         }
     }
 }
--- a/crates/testbed/src/sockets/driver/schedule.rs
+++ b/crates/testbed/src/sockets/driver/schedule.rs
@@ -62,6 +62,8 @@
     HealOrigin,
     /// Answers are damaged no more.
     RepairAnswers,
+    /// A fault of system calls ends, by its place in the scenario.
+    EndSystemFault(usize),
     /// A peer sends malformed bytes to a node.
     SendMalformed(MalformedTraffic),
 }
@@ -113,6 +115,7 @@
                 .shared
                 .state()
                 .set_answer_faults(AnswerFaults::default()),
+            Scheduled::EndSystemFault(event) => self.end_system_fault(event),
             Scheduled::SendMalformed(traffic) => self.send_malformed(at, traffic),
         }
         self.shared.notify_due_changed();
--- a/crates/testbed/src/sockets/driver/setup.rs
+++ b/crates/testbed/src/sockets/driver/setup.rs
@@ -1,6 +1,7 @@
 //! The start of a run: services, links and nodes come up, the cache servers are filled, and the schedule is begun.
 
 use std::net::SocketAddr;
+use std::path::Path;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -10,6 +11,7 @@
 
 use super::load_balancer::LoadBalancer;
 use super::schedule::Scheduled;
+use super::system_faults::SystemFaults;
 use super::{Driver, Message, RandomStreams};
 use crate::clients::{Clients, Stream};
 use crate::event_queue::EventQueue;
@@ -27,15 +29,21 @@
 const MAX_MESSAGES: usize = 4096;
 
 impl<'a> Driver<'a> {
-    /// Opens all listeners and links of a scenario. No node runs yet.
+    /// Opens all listeners and links of a scenario, and preloads a fault injector where there is one. No node runs yet.
     pub(in crate::sockets) fn new(
         scenario: &'a Scenario,
         seed: u64,
         options: &'a Options<'a>,
+        injector: Option<&Path>,
     ) -> Result<Driver<'a>, SocketError> {
-        Driver::open(scenario, seed, options).map_err(|source| {
+        let mut driver = Driver::open(scenario, seed, options).map_err(|source| {
             SocketError::io("cannot open the listeners of the emulated cluster", source)
-        })
+        })?;
+        if let Some(library) = injector {
+            driver.prepare_fault_injection(library);
+        }
+        driver.begin_early_system_faults();
+        Ok(driver)
     }
 
     fn open(
@@ -52,6 +60,8 @@
         services.spawn(async move { drop(serve_origin.await) });
         let begin = shared.now();
         let (message_sender, messages) = mpsc::channel(MAX_MESSAGES);
+        let mut random = RandomStreams::new(seed);
+        let system_faults = SystemFaults::draw(scenario, &mut random.system_faults);
         let mut driver = Driver {
             begin,
             schedule: EventQueue::new(),
@@ -65,7 +75,8 @@
             last_request: 0,
             message_sender,
             messages,
-            random: RandomStreams::new(seed),
+            random,
+            system_faults,
             progress_messages: Vec::new(),
             failures: Vec::new(),
             shared,
--- a/crates/testbed/src/sockets/error.rs
+++ b/crates/testbed/src/sockets/error.rs
@@ -1,6 +1,7 @@
 //! Why a run on sockets failed.
 
 use super::{MAX_CACHE_SERVERS, MAX_NODES};
+use crate::program::ProgramError;
 
 /// Why a run on sockets could not start, or did not finish.
 #[derive(Debug, thiserror::Error)]
@@ -24,6 +25,9 @@
         /// The reason that the system gave.
         source: std::io::Error,
     },
+    /// The scenario has faults of system calls, and the library is missing that injects them.
+    #[error(transparent)]
+    FaultInjector(#[from] ProgramError),
     /// A node ended, or did not answer, while it was starting.
     #[error("node {node} does not start: {last_log_line}")]
     NotReady {
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -14,6 +14,7 @@
 //! | `services` | emulated cache servers, origin and discovery |
 //! | [`link`] | a proxy between two parties that delays, stalls and resets |
 //! | `router_process` | the nodes' processes, their configurations and logs |
+//! | `fault_injection` | the fault injector that is preloaded into a node |
 //! | `client_connections` | pooled connections of clients to a node |
 //! | [`loopback`] | addresses and listeners |
 //!
@@ -27,6 +28,7 @@
 mod cluster;
 mod driver;
 mod error;
+mod fault_injection;
 pub mod link;
 pub mod loopback;
 pub(crate) mod router_process;
@@ -39,9 +41,10 @@
 
 pub use error::SocketError;
 
+use crate::program;
 use crate::report::{Counts, Report};
 use crate::scenario::Scenario;
-use driver::Driver;
+use driver::{Driver, needs_fault_injector};
 
 /// Nodes on sockets at most: what one machine's socket table and six cores bear.
 pub const MAX_NODES: u32 = 300;
@@ -77,7 +80,7 @@
 /// it started is left.
 ///
 /// # Errors
-/// Where the scenario is too large, a node does not start, the system refuses a socket or process, or `stop` ended first.
+/// Where the scenario is too large, the fault injector that it needs is missing, a node does not start, the system refuses a socket or process, or `stop` ended first.
 pub async fn run(
     scenario: &Scenario,
     seed: u64,
@@ -86,8 +89,13 @@
     mut progress: impl FnMut(&Progress),
 ) -> Result<Report, SocketError> {
     check_size(scenario)?;
+    let injector = if needs_fault_injector(scenario) {
+        Some(program::find_fault_injector()?)
+    } else {
+        None
+    };
     let ended = async {
-        let mut driver = Driver::new(scenario, seed, options)?;
+        let mut driver = Driver::new(scenario, seed, options, injector.as_deref())?;
         driver.begin().await?;
         driver.run(&mut progress).await;
         driver.stop_nodes().await;
--- a/crates/testbed/src/sockets/router_process.rs
+++ b/crates/testbed/src/sockets/router_process.rs
@@ -2,6 +2,7 @@
 //! killed when its owner is dropped.
 
 use std::fs::File;
+use std::io::Error;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{ExitStatus, Stdio};
@@ -17,6 +18,7 @@
 
 use super::SocketError;
 use super::client_connections::ConnectionPool;
+use super::fault_injection::FaultInjection;
 use super::loopback::{LoopbackBlock, listen, loopback_address};
 use crate::deployment;
 use crate::scenario::Scenario;
@@ -36,6 +38,7 @@
     discovery: SocketAddr,
     config_path: PathBuf,
     log_path: PathBuf,
+    fault_injection: Option<FaultInjection>,
     child: Option<Child>,
     incarnation: u32,
     terminating: bool,
@@ -56,12 +59,23 @@
             discovery,
             config_path: folder.join(format!("n{node}.json")),
             log_path: folder.join(format!("n{node}.log")),
+            fault_injection: None,
             child: None,
             incarnation: 0,
             terminating: false,
         })
     }
 
+    /// Preloads a fault injector into the processes that are started from now on.
+    pub(super) fn inject_faults(&mut self, injection: FaultInjection) {
+        self.fault_injection = Some(injection);
+    }
+
+    /// Its fault injector, if it has one.
+    pub(super) fn fault_injection(&mut self) -> Option<&mut FaultInjection> {
+        self.fault_injection.as_mut()
+    }
+
     /// Starts a process that holds `known_endpoints` from the beginning.
     ///
     /// # Errors
@@ -88,7 +102,12 @@
             .create(true)
             .append(true)
             .open(&self.log_path)?;
-        let child = Command::new(program)
+        let mut command = Command::new(program);
+        if let Some(injection) = &mut self.fault_injection {
+            let variables = injection.prepare(self.incarnation).map_err(Error::other)?;
+            command.envs(variables.map(|variable| (variable.name, variable.value)));
+        }
+        let child = command
             .env("ROUTER_CONFIG", &self.config_path)
             .env_remove("ROUTER_LISTEN")
             .env_remove("ROUTER_DISCOVERY")
--- a/crates/testbed/src/sockets/shared.rs
+++ b/crates/testbed/src/sockets/shared.rs
@@ -31,12 +31,22 @@
     pub records: &'a [EndpointRecord],
 }
 
+/// A step of a wall clock.
+#[derive(Debug, Clone, Copy)]
+struct ClockStep {
+    at: Micros,
+    /// By how many microseconds; back where negative.
+    by: i64,
+}
+
 /// The emulated cluster as the services and the driver share it. No lock is held over an await.
 pub struct SharedCluster {
     clock: Clock,
     state: Mutex<ClusterState>,
     due_changed: Notify,
     value: Bytes,
+    /// Steps of the wall clock of the discovery service, in order.
+    discovery_clock_steps: Mutex<Vec<ClockStep>>,
     /// Where the nodes of each zone reach each cache server.
     server_addresses: Mutex<Vec<Vec<SocketAddr>>>,
     origin: SocketAddr,
@@ -53,6 +63,7 @@
             state: Mutex::new(state),
             due_changed: Notify::new(),
             value: Bytes::from(vec![b'v'; scenario.load.value_bytes as usize]),
+            discovery_clock_steps: Mutex::default(),
             server_addresses: Mutex::new(vec![Vec::new(); usize::from(scenario.zones)]),
             origin,
             kind_names: scenario
@@ -93,6 +104,21 @@
         self.due_changed.notify_one();
     }
 
+    /// Steps the wall clock of the discovery service: servers that start from now on are listed by the new time.
+    pub fn step_discovery_clock(&self, at: Micros, by: i64) {
+        lock(&self.discovery_clock_steps).push(ClockStep { at, by });
+    }
+
+    /// A time as the wall clock of the discovery service had it; 0, which is long ago, on any clock.
+    fn discovery_time(&self, at: Micros) -> Micros {
+        if at == 0 {
+            return 0;
+        }
+        let steps = lock(&self.discovery_clock_steps);
+        let offset = steps.iter().filter(|step| step.at <= at);
+        at.saturating_add_signed(offset.map(|step| step.by).sum())
+    }
+
     /// A process of a node starts: returns the endpoint list that it holds from the beginning, in the protocol's form.
     pub fn begin_node(&self, node: NodeId, zone: Zone) -> Value {
         let now = self.now();
@@ -124,7 +150,7 @@
                 "group": 1,
                 "status": status_name(record.condition),
                 "weight": 1.0,
-                "since_ms": record.started / 1_000,
+                "since_ms": self.discovery_time(record.started) / 1_000,
             }))
         };
         let mut endpoints: Vec<Value> = message.records.iter().filter_map(endpoint).collect();
--- a/crates/testbed/src/virtual_time/faults.rs
+++ b/crates/testbed/src/virtual_time/faults.rs
@@ -120,8 +120,11 @@
                 };
                 self.damage_answers(faults, lasts);
             }
-            // No policy sees malformed commands.
-            FaultEvent::MalformedTraffic { .. } => {}
+            // No policy sees malformed commands or makes system calls, and there is one clock.
+            FaultEvent::MalformedTraffic { .. }
+            | FaultEvent::SystemCalls { .. }
+            | FaultEvent::ShortCounts { .. }
+            | FaultEvent::StepClock { .. } => {}
         }
     }
 
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -189,6 +189,7 @@
             events: self.events,
             violations: violations.shown,
             violation_count: violations.count,
+            injected_faults: Vec::new(),
         }
     }
 }
