--- /dev/null
+++ b/crates/routerctl/src/commands/testbed/faults.rs
@@ -0,0 +1,166 @@
+//! `routerctl testbed faults`: scenarios with faults of system calls and clocks, beside the same without.
+
+use std::path::{Path, PathBuf};
+
+use clap::Args;
+use testbed::fault_matrix::{
+    CaseOutcome, FaultKind, FaultMatrix, MatrixOptions, MissedGoal, NamedScenario,
+};
+use testbed::{Scenario, program};
+
+use crate::outcome::{CommandError, CommandResult, Outcome};
+
+#[derive(Args)]
+#[command(
+    after_help = "Goals: no rule broken and all nodes start; service within 0.01 of the runs without faults at a rate of 0.01, \
+                  within 0.05 at 0.05; p99 within 1.5 times at 0.01.\n\nExamples:\n  \
+                  routerctl testbed faults --seeds 100 --jobs 4\n  \
+                  routerctl testbed faults --scenarios calm,kill --kinds short-counts,interrupted --rates 0.01 --seeds 5"
+)]
+pub struct Arguments {
+    /// Folder of the scenarios, TOML (docs/TESTBED.md)
+    #[arg(
+        long,
+        value_name = "DIR",
+        default_value = "crates/testbed/scenarios/faults"
+    )]
+    folder: PathBuf,
+    /// Names of the scenarios [default: all in the folder]
+    #[arg(long, value_name = "NAME", value_delimiter = ',')]
+    scenarios: Vec<String>,
+    /// Kinds of faults [default: all]
+    #[arg(long, value_name = "KIND", value_delimiter = ',')]
+    kinds: Vec<FaultKind>,
+    /// Parts of the system calls that are hit
+    #[arg(long, value_name = "PART", value_delimiter = ',', default_value = "0.01,0.05,0.2", value_parser = parse_rate)]
+    rates: Vec<f64>,
+    /// Number of seeds
+    #[arg(long, value_name = "N", default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=100_000))]
+    seeds: u64,
+    /// The first seed
+    #[arg(long, value_name = "SEED", default_value_t = 1, value_parser = clap::value_parser!(u64).range(..=u64::from(u32::MAX)))]
+    first_seed: u64,
+    /// Runs at the same time; latencies are those of a machine that is not crowded
+    #[arg(long, value_name = "N", default_value_t = 1, value_parser = clap::value_parser!(u8).range(1..=64))]
+    jobs: u8,
+    /// The cache-router program [default: the one beside this program]
+    #[arg(long, value_name = "PROGRAM")]
+    node: Option<PathBuf>,
+    /// Keep the nodes' configurations and logs in a folder
+    #[arg(long, value_name = "DIR")]
+    logs: Option<PathBuf>,
+}
+
+fn parse_rate(text: &str) -> Result<f64, &'static str> {
+    text.parse()
+        .ok()
+        .filter(|rate| (0.0..=1.0).contains(rate))
+        .ok_or("write a part of the calls, 0 to 1")
+}
+
+impl Arguments {
+    fn matrix(&self) -> Result<FaultMatrix, CommandError> {
+        let kinds = if self.kinds.is_empty() {
+            FaultKind::ALL.to_vec()
+        } else {
+            self.kinds.clone()
+        };
+        Ok(FaultMatrix {
+            scenarios: self.read_scenarios()?,
+            kinds,
+            rates: self.rates.clone(),
+            seeds: self.first_seed..self.first_seed + self.seeds,
+        })
+    }
+
+    fn read_scenarios(&self) -> Result<Vec<NamedScenario>, CommandError> {
+        let names = if self.scenarios.is_empty() {
+            names_in(&self.folder)?
+        } else {
+            self.scenarios.clone()
+        };
+        let read = |name: String| {
+            let path = self.folder.join(format!("{name}.toml"));
+            let scenario = Scenario::read(&path)?;
+            Ok(NamedScenario { name, scenario })
+        };
+        names.into_iter().map(read).collect()
+    }
+}
+
+/// The names of the scenarios in a folder, in order.
+fn names_in(folder: &Path) -> std::io::Result<Vec<String>> {
+    let mut names = Vec::new();
+    for entry in std::fs::read_dir(folder)? {
+        let path = entry?.path();
+        let is_scenario = path
+            .extension()
+            .is_some_and(|extension| extension == "toml");
+        if let Some(stem) = path.file_stem().filter(|_| is_scenario) {
+            names.push(stem.to_string_lossy().into_owned());
+        }
+    }
+    names.sort();
+    Ok(names)
+}
+
+pub fn run(arguments: &Arguments) -> CommandResult {
+    let matrix = arguments.matrix()?;
+    let temporary = tempfile::tempdir()?;
+    let folder = arguments.logs.as_deref().unwrap_or(temporary.path());
+    let options = MatrixOptions {
+        program: program::find(arguments.node.as_deref())?,
+        folder: folder.to_path_buf(),
+        jobs: arguments.jobs.into(),
+    };
+    let mut all_reached = true;
+    print_header();
+    matrix.run(&options, |outcome| {
+        let missed = outcome.missed_goals();
+        all_reached &= missed.is_empty();
+        print_row(outcome, &missed);
+    })?;
+    Ok(Outcome::passed_if(all_reached))
+}
+
+fn print_header() {
+    println!(
+        "{:<10} {:<13} {:>6} {:>5} {:>8} {:>8} {:>9} {:>9} {:>11} {:>9}  missed",
+        "scenario",
+        "faults",
+        "rate",
+        "runs",
+        "service",
+        "without",
+        "p99 ratio",
+        "broken",
+        "not started",
+        "injected"
+    );
+}
+
+fn print_row(outcome: &CaseOutcome, missed: &[MissedGoal]) {
+    let CaseOutcome {
+        case,
+        runs,
+        not_started,
+        service,
+        baseline_service,
+        p99_ratio,
+        violation_count,
+        injected,
+        first_problem,
+    } = outcome;
+    let rate = case.rate.map_or("-".to_string(), |rate| rate.to_string());
+    let missed: Vec<String> = missed.iter().map(MissedGoal::to_string).collect();
+    println!(
+        "{:<10} {:<13} {rate:>6} {runs:>5} {service:>8.4} {baseline_service:>8.4} {p99_ratio:>9.2} \
+         {violation_count:>9} {not_started:>11} {injected:>9}  {}",
+        case.scenario,
+        case.kind,
+        missed.join(", ")
+    );
+    if let Some(problem) = first_problem {
+        println!("           first: {problem}");
+    }
+}
--- a/crates/routerctl/src/commands/testbed/mod.rs
+++ b/crates/routerctl/src/commands/testbed/mod.rs
@@ -1,6 +1,7 @@
-//! `routerctl testbed`: scenarios, experiments and load.
+//! `routerctl testbed`: scenarios, experiments, fault matrices and load.
 
 mod experiment;
+mod faults;
 mod load;
 mod report;
 mod run;
@@ -18,6 +19,8 @@
     Experiment(experiment::Arguments),
     /// Compare the runs in an experiment's folder, as JSON lines and as one page
     Report(report::Arguments),
+    /// Run scenarios with faults of system calls and clocks beside the same without: 0 where all goals were reached
+    Faults(faults::Arguments),
     /// Send requests at times of their own and measure what clients would wait: 0 where 99.9% were served
     Load(load::Arguments),
 }
@@ -28,6 +31,7 @@
         Command::Run(arguments) => run::run(&arguments),
         Command::Experiment(arguments) => experiment::run(&arguments),
         Command::Report(arguments) => report::run(&arguments),
+        Command::Faults(arguments) => faults::run(&arguments),
         Command::Load(arguments) => load::run(&arguments),
     }
 }
--- a/crates/routerctl/src/outcome.rs
+++ b/crates/routerctl/src/outcome.rs
@@ -8,6 +8,7 @@
 use acceptance::sources::SourceError;
 use router_config::ConfigError;
 use testbed::experiment::ExperimentError;
+use testbed::fault_matrix::MatrixError;
 use testbed::program::ProgramError;
 use testbed::sockets::SocketError;
 
@@ -57,6 +58,9 @@
     /// An experiment cannot be run or its results cannot be read.
     #[error(transparent)]
     Experiment(#[from] ExperimentError),
+    /// A fault matrix was not run to its end.
+    #[error(transparent)]
+    FaultMatrix(#[from] MatrixError),
     /// The `cache-router` program is missing.
     #[error(transparent)]
     Program(#[from] ProgramError),
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -13,6 +13,7 @@
 pub mod deployment;
 mod event_queue;
 pub mod experiment;
+pub mod fault_matrix;
 pub mod html_report;
 pub mod load;
 pub mod program;
