--- a/crates/routerctl/src/outcome.rs
+++ b/crates/routerctl/src/outcome.rs
@@ -10,6 +10,7 @@
 use tempfile::TempDir;
 use testbed::atomic_file::{WriteError, advice};
 use testbed::experiment::ExperimentError;
+use testbed::fault_matrix::MatrixError;
 use testbed::program::ProgramError;
 use testbed::sockets::SocketError;
 
@@ -61,6 +62,9 @@
     /// An experiment cannot be run or its results cannot be read.
     #[error(transparent)]
     Experiment(#[from] ExperimentError),
+    /// A fault matrix was not run to its end.
+    #[error(transparent)]
+    FaultMatrix(#[from] MatrixError),
     /// The `cache-router` program is missing.
     #[error(transparent)]
     Program(#[from] ProgramError),
