--- a/crates/testbed/tests/system_call_faults.rs
+++ b/crates/testbed/tests/system_call_faults.rs
@@ -533,3 +533,41 @@
         case("restart", FaultKind::ClockSteps, 1.0, 7),
     ]);
 }
+
+#[test]
+fn nodes_bear_short_reads_and_writes() {
+    assert_borne(&[
+        case("calm", FaultKind::ShortCounts, 0.05, 3),
+        case("drain", FaultKind::ShortCounts, 0.2, 6),
+        case("kill", FaultKind::ShortCounts, 0.5, 5),
+    ]);
+}
+
+#[test]
+fn nodes_bear_interrupted_calls() {
+    assert_borne(&[
+        case("restart", FaultKind::Interrupted, 0.01, 4),
+        case("calm", FaultKind::Interrupted, 0.05, 3),
+        case("kill", FaultKind::Interrupted, 0.2, 5),
+    ]);
+}
+
+#[test]
+fn nodes_start_though_sockets_listeners_and_files_fail_at_times() {
+    assert_borne(&[
+        case("calm", FaultKind::Sockets, 0.05, 3),
+        case("restart", FaultKind::Sockets, 0.2, 4),
+        case("calm", FaultKind::Listens, 0.05, 3),
+        case("kill", FaultKind::Listens, 0.2, 5),
+        case("calm", FaultKind::Files, 0.05, 3),
+        case("restart", FaultKind::Files, 0.2, 4),
+    ]);
+}
+
+#[test]
+fn nodes_bear_all_of_these_together() {
+    assert_borne(&[
+        case("kill", FaultKind::Together, 0.01, 3),
+        case("calm", FaultKind::Together, 0.05, 3),
+    ]);
+}
