--- a/crates/routing-policy/src/policy/selection.rs
+++ b/crates/routing-policy/src/policy/selection.rs
@@ -14,6 +14,9 @@
 /// one of many routers draws from an idle server tell how little it asked, not how little the server can do.
 const CREDITED_CORES: f64 = 3.0;
 
+/// Less than the least error that a logarithm and a division could add to a position.
+const ROUNDING: f64 = 1.0 - 1e-9;
+
 /// How good a server is for a request; the least is the best, compared field by field.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 struct Rank {
@@ -31,29 +34,36 @@
     policy: &'a Policy,
     id: RequestId,
     key: Key,
+    request: &'a InFlightRequest,
+    /// The largest weight of any server.
+    most_weight: f64,
     /// Time in which an answer still earns, microseconds.
     remaining: f64,
     bound_per_capacity: f64,
     least_bound: f64,
 }
 
+impl Rank {
+    fn has_objection(&self) -> bool {
+        self.is_ejected || self.is_too_slow || self.is_passed_over
+    }
+}
+
 impl Policy {
     /// The first server in the key's order within the load bound, else the first; none where that is full.
-    pub(super) fn pick(&self, id: RequestId) -> Option<ServerId> {
+    pub(super) fn pick(&mut self, id: RequestId) -> Option<ServerId> {
+        let key = self.requests.get(&id)?.key;
+        let key = if key == 0 { id } else { key };
+        let first = self.fleet.key_orders.take_first(key);
+        let picked = self.pick_from(id, key, &first);
+        self.fleet.key_orders.keep(key, first);
+        picked
+    }
+
+    fn pick_from(&self, id: RequestId, key: Key, first: &OrderSegment) -> Option<ServerId> {
         let request = self.requests.get(&id)?;
-        let selection = Selection::new(self, id, request);
-        let mut best: Option<Rank> = None;
-        for server in self.fleet.ready_cache_servers() {
-            let is_excluded = request.excluded_servers.contains(&server.endpoint.id);
-            if is_excluded || !self.may_take(selection.key, request, server) {
-                continue;
-            }
-            let rank = selection.rank(server);
-            if best.is_none_or(|best| rank < best) {
-                best = Some(rank);
-            }
-        }
-        let best = best?;
+        let selection = Selection::new(self, id, key, request);
+        let best = selection.best(first)?;
         let is_full = selection.is_full(self.fleet.get(best.server)?);
         // Passing over a full server for one far down the order would scatter the keys and empty the caches.
         (!best.is_too_slow && !is_full).then_some(best.server)
@@ -66,28 +76,75 @@
 }
 
 impl<'a> Selection<'a> {
-    fn new(policy: &'a Policy, id: RequestId, request: &InFlightRequest) -> Self {
+    fn new(policy: &'a Policy, id: RequestId, key: Key, request: &'a InFlightRequest) -> Self {
         let congestion = policy.origin_limiter.congestion();
         let multiple = LOAD_BOUND + (LOAD_BOUND_CONGESTED - LOAD_BOUND) * congestion;
         let attempts = f64::from(policy.fleet.cache_attempts + 1);
         // All of it from one router alone is a crowd.
         let routers = f64::from(policy.settings.balancer_count.max(2));
+        let heaviest = policy.fleet.heaviest.and_then(|id| policy.fleet.get(id));
         Selection {
             policy,
             id,
-            key: if request.key == 0 { id } else { request.key },
+            key,
+            request,
+            most_weight: heaviest.map_or(f64::INFINITY, |server| policy.weight(server)),
             remaining: request.useful_until.saturating_sub(policy.now) as f64,
             bound_per_capacity: multiple * attempts / policy.fleet.total_capacity,
             least_bound: LEAST_BOUND_ATTEMPTS / routers,
         }
     }
 
-    fn rank(&self, server: &Server) -> Rank {
+    /// The best of all servers. Those of the first segment mostly do: a server without objection is better
+    /// than all that have to come later in the order.
+    fn best(&self, first: &OrderSegment) -> Option<Rank> {
+        let mut best = self.best_of(first, None);
+        let mut last: Option<OrderSegment> = None;
+        loop {
+            let segment = last.as_ref().unwrap_or(first);
+            if segment.is_last() || self.beats_all_behind(best, segment.most_draw_behind()) {
+                return best;
+            }
+            let next = self.policy.fleet.key_orders.next_segment(self.key, segment);
+            best = self.best_of(&next, best);
+            last = Some(next);
+        }
+    }
+
+    /// The better of a server and the best of a segment.
+    fn best_of(&self, segment: &OrderSegment, mut best: Option<Rank>) -> Option<Rank> {
+        for place in &segment.servers {
+            if self.beats_all_behind(best, place.draw()) {
+                break;
+            }
+            let server = self.policy.fleet.get(place.server);
+            let Some(server) = server.filter(|server| self.is_eligible(server)) else {
+                continue;
+            };
+            let rank = self.rank(server, place.draw());
+            if best.is_none_or(|best| rank < best) {
+                best = Some(rank);
+            }
+        }
+        best
+    }
+
+    /// Whether a server is better than all whose draws are at most this.
+    fn beats_all_behind(&self, rank: Option<Rank>, draw: f64) -> bool {
+        rank.is_some_and(|rank| !rank.has_objection() && rank.position < self.first_position(draw))
+    }
+
+    fn is_eligible(&self, server: &Server) -> bool {
+        let is_excluded = self.request.excluded_servers.contains(&server.endpoint.id);
+        !is_excluded && self.policy.may_take(self.key, self.request, server)
+    }
+
+    fn rank(&self, server: &Server, draw: f64) -> Rank {
         Rank {
             is_ejected: self.policy.is_ejected(server),
             is_too_slow: server.fastest.get() > self.remaining,
             is_passed_over: self.is_passed_over(server),
-            position: self.position(server),
+            position: self.position(server, draw),
             server: server.endpoint.id,
         }
     }
@@ -103,8 +160,7 @@
 
     /// Position of a server in the key's order, the smaller the earlier (weighted rendezvous hashing): the same
     /// at every router, and little moves when a server comes or goes.
-    fn position(&self, server: &Server) -> f64 {
-        let draw = unit_hash(self.key, server.endpoint.id, Purpose::Position);
+    fn position(&self, server: &Server, draw: f64) -> f64 {
         // The same order without the logarithm, which was most of a pick at 475 servers.
         if self.policy.settings.weights_are_sizes {
             -draw.ln() / self.policy.weight(server)
@@ -113,6 +169,16 @@
         }
     }
 
+    /// No server whose draw is at most this comes earlier in the order.
+    fn first_position(&self, draw: f64) -> f64 {
+        if self.policy.settings.weights_are_sizes {
+            // A bound of the logarithm that costs less and holds whatever its last digits are.
+            (1.0 - draw) * ROUNDING / self.most_weight
+        } else {
+            -draw
+        }
+    }
+
     fn is_full(&self, server: &Server) -> bool {
         let most = self.remaining * FULL_FRACTION;
         let limits_tenants = self.policy.load_shedding.limits_tenants();
@@ -141,3 +207,7 @@
         f64::from(server.in_flight) * objective / (answers + credit.max(ANSWER_CREDIT))
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/selection_reference.rs"]
+mod reference;
--- a/crates/routing-policy/src/state/fleet.rs
+++ b/crates/routing-policy/src/state/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{Attempt, MachineKind, Server, SmoothedTime};
+use super::{Attempt, KeyOrders, MachineKind, Server, SmoothedTime};
 use crate::interface::{EndpointState, Micros, ServerId};
 
 /// All servers, and the figures that they have together.
@@ -10,6 +10,10 @@
 pub(crate) struct Fleet {
     /// The servers that are listed or still owe an outcome.
     pub(crate) servers: BTreeMap<ServerId, Server>,
+    /// The orders of the keys over the cache servers that are ready.
+    pub(crate) key_orders: KeyOrders,
+    /// The heaviest of these, by its line of the list.
+    pub(crate) heaviest: Option<ServerId>,
     /// What was seen of each kind of machine.
     pub(crate) kinds: BTreeMap<u16, MachineKind>,
     /// Capacity of all cache servers that are ready.
@@ -87,11 +91,14 @@
 
     /// Counts the servers of each kind that are ready and warm.
     pub(crate) fn count_warm_servers(&mut self, now: Micros, warm_up_period: Micros) {
-        for (id, kind) in &mut self.kinds {
-            let servers = self.servers.values();
-            let ready = servers.filter(|s| s.is_ready_cache() && s.endpoint.kind == *id);
-            let warm = ready.filter(|s| s.is_warm(now, warm_up_period));
-            kind.warm_servers = warm.count() as u32;
+        for kind in self.kinds.values_mut() {
+            kind.warm_servers = 0;
+        }
+        let ready = self.servers.values().filter(|s| s.is_ready_cache());
+        for server in ready.filter(|s| s.is_warm(now, warm_up_period)) {
+            if let Some(kind) = self.kinds.get_mut(&server.endpoint.kind) {
+                kind.warm_servers += 1;
+            }
         }
     }
 
@@ -119,9 +126,21 @@
         }
     }
 
-    /// Forgets servers that are removed and owe no outcome.
+    /// Forgets servers that are removed and owe no outcome, once a list has been taken in, and orders the keys
+    /// over those that are ready.
     pub(crate) fn forget_removed(&mut self) {
         self.servers
             .retain(|_, s| s.endpoint.state != EndpointState::Removed || s.in_flight > 0);
+        let mut ready = Vec::with_capacity(self.servers.len());
+        let mut heaviest: Option<(f32, ServerId)> = None;
+        for server in self.ready_cache_servers() {
+            let (weight, id) = (server.endpoint.weight, server.endpoint.id);
+            ready.push(id);
+            if !weight.is_nan() && heaviest.is_none_or(|(most, _)| weight > most) {
+                heaviest = Some((weight, id));
+            }
+        }
+        self.heaviest = heaviest.map(|(_, id)| id);
+        self.key_orders.set_servers(ready);
     }
 }
--- a/crates/routing-policy/src/state/unit_hash.rs
+++ b/crates/routing-policy/src/state/unit_hash.rs
@@ -23,7 +23,11 @@
     let mut bytes = [0u8; 12];
     bytes[..8].copy_from_slice(&key.to_le_bytes());
     bytes[8..].copy_from_slice(&server.to_le_bytes());
-    let hash = xxh3_64_with_seed(&bytes, purpose as u64);
+    unit_interval(xxh3_64_with_seed(&bytes, purpose as u64))
+}
+
+/// A hash as a number between 0 and 1; a greater hash gives the same number or a greater one.
+pub(crate) fn unit_interval(hash: u64) -> f64 {
     // The upper 53 bits, as many as a double holds; the half keeps the result off 0.
     ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
