--- a/crates/routerctl/src/commands/check.rs
+++ b/crates/routerctl/src/commands/check.rs
@@ -5,6 +5,7 @@
 use clap::Args;
 use router_config::{Config, ConfigError, Layers};
 
+use crate::assignment::{Assignment, parse_assignment};
 use crate::outcome::{CommandError, CommandResult, Outcome};
 
 #[derive(Args)]
@@ -21,23 +22,6 @@
     show: bool,
 }
 
-/// A key and the value that it is set to.
-#[derive(Debug, Clone)]
-struct Assignment {
-    key: String,
-    value: String,
-}
-
-fn parse_assignment(text: &str) -> Result<Assignment, &'static str> {
-    match text.split_once('=') {
-        Some((key, value)) if !key.is_empty() => Ok(Assignment {
-            key: key.into(),
-            value: value.into(),
-        }),
-        _ => Err("write KEY=VALUE, such as log.level=debug"),
-    }
-}
-
 pub fn run(arguments: &Arguments) -> CommandResult {
     let file_layers = Layers::from_env().file(&arguments.file);
     let layers = arguments
--- a/crates/routerctl/src/commands/testbed/mod.rs
+++ b/crates/routerctl/src/commands/testbed/mod.rs
@@ -4,6 +4,7 @@
 mod load;
 mod report;
 mod run;
+mod sizes;
 
 use clap::Subcommand;
 
@@ -18,6 +19,8 @@
     Experiment(experiment::Arguments),
     /// Compare the runs in an experiment's folder, as JSON lines and as one page
     Report(report::Arguments),
+    /// Run a scenario on sockets before fleets of several sizes and compare what a node needs: 0 where no limit is passed
+    Sizes(sizes::Arguments),
     /// Send requests at times of their own and measure what clients would wait: 0 where 99.9% were served
     Load(load::Arguments),
 }
@@ -28,6 +31,7 @@
         Command::Run(arguments) => run::run(&arguments),
         Command::Experiment(arguments) => experiment::run(&arguments),
         Command::Report(arguments) => report::run(&arguments),
+        Command::Sizes(arguments) => sizes::run(&arguments),
         Command::Load(arguments) => load::run(&arguments),
     }
 }
--- a/crates/routerctl/src/main.rs
+++ b/crates/routerctl/src/main.rs
@@ -1,6 +1,7 @@
 //! `routerctl`: parses the command line, calls the crate that does the work, prints what it returns. It has no logic
 //! of its own.
 
+mod assignment;
 mod commands;
 mod outcome;
 mod progress;
--- a/crates/routerctl/src/outcome.rs
+++ b/crates/routerctl/src/outcome.rs
@@ -88,6 +88,9 @@
     /// Options of a run on sockets were given for a run in virtual time.
     #[error("--node and --logs go with --sockets")]
     SocketOptionsInVirtualTime,
+    /// Only one size of a fleet was given to be compared.
+    #[error("--servers takes two numbers or more, such as 24,384")]
+    TooFewSizes,
     /// A load has no address to be sent to.
     #[error("there is nothing to send to")]
     NoTarget,
--- a/crates/routerctl/src/socket_run.rs
+++ b/crates/routerctl/src/socket_run.rs
@@ -1,9 +1,9 @@
 //! Runs of a scenario in real time, with real nodes on sockets.
 
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
 use clap::Args;
-use testbed::sockets::{self, Options};
+use testbed::sockets::{self, Options, Progress};
 use testbed::{Report, Scenario, program};
 
 use crate::outcome::CommandError;
@@ -32,6 +32,16 @@
     scenario: &Scenario,
     seed: u64,
     options: &SocketOptions,
+) -> Result<Report, CommandError> {
+    run_observed(scenario, seed, options, |_, _| ())
+}
+
+/// The same, and tells of the progress and of the folder that the nodes' configurations are in.
+pub fn run_observed(
+    scenario: &Scenario,
+    seed: u64,
+    options: &SocketOptions,
+    mut observe: impl FnMut(&Progress, &Path),
 ) -> Result<Report, CommandError> {
     let program = program::find(options.node.as_deref())?;
     let temporary = tempfile::tempdir()?;
@@ -51,6 +61,7 @@
     let interrupted = async { drop(tokio::signal::ctrl_c().await) };
     let run = sockets::run(scenario, seed, &run_options, interrupted, |progress| {
         display.show(progress);
+        observe(progress, folder);
     });
     Ok(runtime.block_on(run)?)
 }
--- a/crates/routerctl/tests/cli.rs
+++ b/crates/routerctl/tests/cli.rs
@@ -139,6 +139,8 @@
             &["report", "/nowhere"],
             "/nowhere/experiment.json: No such file",
         ),
+        (&["sizes", scenario, "--servers", "24"], "such as 24,384"),
+        (&["sizes", scenario, "--servers", "24,3201"], "1..=3200"),
         (
             &["load", "--rate", "0"],
             "write a number of requests a second, 1 to 1000000",
@@ -275,6 +277,28 @@
     );
 }
 
+#[test]
+fn fleets_of_two_sizes_are_compared_in_one_table_whose_verdicts_give_the_exit_code() {
+    let scenario = concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/../testbed/scenarios/small/calm.toml"
+    );
+    let small = ["--set", "nodes=2", "--set", "length=\"2s\""];
+    let arguments = [
+        &["testbed", "sizes", scenario, "--servers", "4,8"][..],
+        &small,
+    ]
+    .concat();
+    let (code, table, error) = routerctl(&arguments);
+    let rows: Vec<_> = table
+        .lines()
+        .filter(|row| row.contains("within") || row.contains("EXCEEDED"))
+        .collect();
+    assert_eq!(rows.len(), 6, "{table} {error}");
+    let has_passed = !table.contains("EXCEEDED") && !table.contains("RULES BROKEN");
+    assert_eq!(code, i32::from(!has_passed), "{table} {error}");
+}
+
 /// Writes an experiment of 40 runs of a second each into a folder.
 fn write_experiment(folder: &Path) -> PathBuf {
     let scenarios = concat!(env!("CARGO_MANIFEST_DIR"), "/../testbed/scenarios");
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -4,7 +4,7 @@
 //! ([`deployment`]) are the same in both.
 //!
 //! On top of the drivers: [`experiment`] runs scenarios, seeds and variants against each other, [`compare`] and
-//! [`html_report`] evaluate them; [`load`] generates load in real time, and [`baseline`] measures one node with it.
+//! [`html_report`] evaluate them; [`fleet_sizes`] compares what nodes need before fleets of several sizes; [`load`] generates load in real time, and [`baseline`] measures one node with it.
 
 mod atomic_file;
 pub mod baseline;
@@ -13,6 +13,7 @@
 pub mod deployment;
 mod event_queue;
 pub mod experiment;
+pub mod fleet_sizes;
 pub mod html_report;
 pub mod load;
 pub mod program;
--- a/crates/testbed/src/sockets/driver/mod.rs
+++ b/crates/testbed/src/sockets/driver/mod.rs
@@ -220,6 +220,8 @@
             recent,
             nodes_up: self.load_balancer.node_count(),
             servers_up,
+            server_connections: self.shared.traffic().server_connections(),
+            list_bytes: self.shared.traffic().list_bytes(),
             messages: std::mem::take(&mut self.progress_messages),
         });
     }
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -45,8 +45,8 @@
 
 /// Nodes on sockets at most: what one machine's socket table and six cores bear.
 pub const MAX_NODES: u32 = 300;
-/// Cache servers on sockets at most, for the same reason.
-pub const MAX_CACHE_SERVERS: u32 = 400;
+/// Cache servers on sockets at most, the largest fleet that nodes are run before.
+pub const MAX_CACHE_SERVERS: u32 = 3_200;
 
 /// What a run needs besides its scenario.
 pub struct Options<'a> {
@@ -69,6 +69,10 @@
     pub nodes_up: usize,
     /// Cache servers that run.
     pub servers_up: usize,
+    /// Connections that cache servers have accepted so far.
+    pub server_connections: u64,
+    /// Bytes of lists, and changes of them, that discovery has sent so far.
+    pub list_bytes: u64,
     /// Faults and recoveries since the last progress, in words.
     pub messages: Vec<String>,
 }
--- a/crates/testbed/src/sockets/services/cache_server.rs
+++ b/crates/testbed/src/sockets/services/cache_server.rs
@@ -29,6 +29,7 @@
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
+                    shared.traffic().count_server_connection();
                     let connection = Connection::new(shared.clone(), stream, server);
                     connections.spawn(connection.serve());
                 }
--- a/crates/testbed/src/sockets/services/discovery.rs
+++ b/crates/testbed/src/sockets/services/discovery.rs
@@ -105,6 +105,7 @@
             records,
         };
         let line = format!("{}\n", shared.endpoint_list_json(*zone, list));
+        shared.traffic().count_list_bytes(line.len());
         let now = shared.now();
         shared.state().discovery_written(now, *node, &message);
         Some(line.into())
--- a/crates/testbed/src/sockets/shared.rs
+++ b/crates/testbed/src/sockets/shared.rs
@@ -2,6 +2,7 @@
 //! that nodes are given.
 
 use std::net::SocketAddr;
+use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use bytes::Bytes;
@@ -31,11 +32,41 @@
     pub records: &'a [EndpointRecord],
 }
 
+/// What passed between the nodes and the emulated services.
+#[derive(Debug, Default)]
+pub struct Traffic {
+    server_connections: AtomicU64,
+    list_bytes: AtomicU64,
+}
+
+impl Traffic {
+    /// Counts a connection that a cache server has accepted.
+    pub fn count_server_connection(&self) {
+        self.server_connections.fetch_add(1, Ordering::Relaxed);
+    }
+
+    /// Counts what discovery sends.
+    pub fn count_list_bytes(&self, bytes: usize) {
+        self.list_bytes.fetch_add(bytes as u64, Ordering::Relaxed);
+    }
+
+    /// Connections that cache servers have accepted so far.
+    pub fn server_connections(&self) -> u64 {
+        self.server_connections.load(Ordering::Relaxed)
+    }
+
+    /// Bytes that discovery has sent so far.
+    pub fn list_bytes(&self) -> u64 {
+        self.list_bytes.load(Ordering::Relaxed)
+    }
+}
+
 /// The emulated cluster as the services and the driver share it. No lock is held over an await.
 pub struct SharedCluster {
     clock: Clock,
     state: Mutex<ClusterState>,
     due_changed: Notify,
+    traffic: Traffic,
     value: Bytes,
     /// Where the nodes of each zone reach each cache server.
     server_addresses: Mutex<Vec<Vec<SocketAddr>>>,
@@ -52,6 +83,7 @@
             clock,
             state: Mutex::new(state),
             due_changed: Notify::new(),
+            traffic: Traffic::default(),
             value: Bytes::from(vec![b'v'; scenario.load.value_bytes as usize]),
             server_addresses: Mutex::new(vec![Vec::new(); usize::from(scenario.zones)]),
             origin,
@@ -78,6 +110,11 @@
         &self.value
     }
 
+    /// What passed between the nodes and the emulated services.
+    pub fn traffic(&self) -> &Traffic {
+        &self.traffic
+    }
+
     /// The state of the cluster, locked. The guard must not be held over an await.
     pub fn state(&self) -> MutexGuard<'_, ClusterState> {
         lock(&self.state)
