--- a/crates/cache-router/src/event_loop/endpoints.rs
+++ b/crates/cache-router/src/event_loop/endpoints.rs
@@ -1,6 +1,6 @@
 //! The servers of the endpoint list in force: where each is reached and whether it accepts requests.
 
-use std::collections::HashMap;
+use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -203,8 +203,8 @@
     fn remove_missing(&mut self, listed: &[Endpoint], kind: ListUpdate) -> Vec<ServerId> {
         let mut removed = ids_where(listed, |state| state == EndpointState::Removed);
         if kind != ListUpdate::Delta {
-            let is_listed = |id: &ServerId| listed.iter().any(|endpoint| endpoint.id == *id);
-            removed.extend(self.server_ids().filter(|id| !is_listed(id)));
+            let listed: HashSet<ServerId> = listed.iter().map(|endpoint| endpoint.id).collect();
+            removed.extend(self.server_ids().filter(|id| !listed.contains(id)));
         }
         for id in &removed {
             self.servers.remove(id);
