--- a/crates/cache-router/src/connection_pool.rs
+++ b/crates/cache-router/src/connection_pool.rs
@@ -27,6 +27,10 @@
 const CONFIRM_AFTER: Micros = 50_000;
 /// The shortest time-out for connecting, in microseconds, whatever the settings say: less is no time at all.
 const MIN_CONNECT_TIMEOUT: Micros = 1_000;
+/// Idle connections are kept to this number, those used last: before a fleet of hundreds of servers most that have
+/// been idle for long are closed by the time-out before they are used again, and each takes a descriptor here and a
+/// place at its server.
+pub const MAX_IDLE_CONNECTIONS: usize = 96;
 
 /// What a connection is doing.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -190,6 +194,30 @@
         });
     }
 
+    /// Closes the connection that has been idle for longest where too many are.
+    fn close_excess_idle(&mut self) {
+        if self.connections.len() <= MAX_IDLE_CONNECTIONS {
+            return;
+        }
+        let idle = self.connections.iter().filter_map(|(id, connection)| {
+            let ConnectionState::Idle(since) = connection.state else {
+                return None;
+            };
+            Some(EvictionCandidate {
+                rank: EvictionRank::Idle,
+                since,
+                id: *id,
+            })
+        });
+        let (count, oldest) = idle.fold((0, None), |(count, oldest), candidate| {
+            let is_older = oldest.as_ref().is_none_or(|oldest| candidate < *oldest);
+            (count + 1, if is_older { Some(candidate) } else { oldest })
+        });
+        if let Some(oldest) = oldest.filter(|_| count > MAX_IDLE_CONNECTIONS) {
+            self.close(oldest.id);
+        }
+    }
+
     /// Makes room for a connection: the one that has been idle for longest is closed; if there is none, the oldest that
     /// is overdue; if there is none either, the oldest that was abandoned.
     fn evict_one(&mut self, now: Micros) {
@@ -313,6 +341,9 @@
                 ConnectionState::Idle(now)
             }
         };
+        if next.is_none() {
+            self.close_excess_idle();
+        }
         next
     }
 
