--- a/crates/routing-policy/src/state/fleet.rs
+++ b/crates/routing-policy/src/state/fleet.rs
@@ -1,6 +1,6 @@
 //! The servers of the endpoint list and their kinds.
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
 use super::{Attempt, KeyOrders, MachineKind, Server, SmoothedTime};
 use crate::interface::{EndpointState, Micros, ServerId};
@@ -16,6 +16,8 @@
     pub(crate) heaviest: Option<ServerId>,
     /// What was seen of each kind of machine.
     pub(crate) kinds: BTreeMap<u16, MachineKind>,
+    /// The servers whose key shares may not be whole: no others grow.
+    reduced: BTreeSet<ServerId>,
     /// Capacity of all cache servers that are ready.
     pub(crate) total_capacity: f64,
     /// Capacity of one of them on the mean.
@@ -41,6 +43,8 @@
     pub(crate) fn with_kind(&mut self, id: ServerId) -> Option<(&mut Server, &mut MachineKind)> {
         let server = self.servers.get_mut(&id)?;
         let kind = self.kinds.entry(server.endpoint.kind).or_default();
+        // Its share is cut through this reference only.
+        self.reduced.insert(id);
         Some((server, kind))
     }
 
@@ -55,11 +59,19 @@
         server.key_share.get() * self.kind_share(server)
     }
 
-    /// Adds to the key shares of all servers and kinds.
+    /// Adds to the key shares of all servers and kinds. Few servers have a reduced one, and this is done often.
     pub(crate) fn grow_key_shares(&mut self, fraction: f64) {
-        let servers = self.servers.values_mut().map(|s| &mut s.key_share);
-        let kinds = self.kinds.values_mut().map(|kind| &mut kind.key_share);
-        servers.chain(kinds).for_each(|share| share.grow(fraction));
+        let servers = &mut self.servers;
+        self.reduced.retain(|id| {
+            let Some(server) = servers.get_mut(id) else {
+                return false;
+            };
+            server.key_share.grow(fraction);
+            server.key_share.is_reduced()
+        });
+        for kind in self.kinds.values_mut() {
+            kind.key_share.grow(fraction);
+        }
     }
 
     /// Takes what was counted in a period into the rates of the kinds.
--- a/crates/routing-policy/src/state/key_share.rs
+++ b/crates/routing-policy/src/state/key_share.rs
@@ -12,6 +12,11 @@
         1.0 - self.routed_past
     }
 
+    /// Whether it is less than the whole.
+    pub(crate) fn is_reduced(&self) -> bool {
+        self.routed_past > 0.0
+    }
+
     /// Multiplies the share by a factor, down to the least share.
     pub(crate) fn cut(&mut self, factor: f64, least: f64) {
         self.routed_past = (1.0 - self.get() * factor).min(1.0 - least);
