--- a/crates/cache-router/src/event_loop/endpoints.rs
+++ b/crates/cache-router/src/event_loop/endpoints.rs
@@ -248,7 +248,7 @@
     ) -> Vec<ServerId> {
         let mut removed = ids_where(listed, |state| state == EndpointState::Removed);
         if kind != ListUpdate::Delta {
-            let listed: HashSet<_> = listed.iter().map(|endpoint| endpoint.id).collect();
+            let listed: HashSet<ServerId> = listed.iter().map(|endpoint| endpoint.id).collect();
             removed.extend(self.server_ids().filter(|id| !listed.contains(id)));
         }
         for id in &removed {
--- a/crates/routerctl/src/commands/testbed/faults.rs
+++ b/crates/routerctl/src/commands/testbed/faults.rs
@@ -8,7 +8,8 @@
 };
 use testbed::{Scenario, program};
 
-use crate::outcome::{CommandError, CommandResult, Outcome};
+use crate::outcome::{CommandError, CommandResult, Outcome, temporary_folder};
+use crate::output::{OutputError, print_line};
 
 #[derive(Args)]
 #[command(
@@ -106,7 +107,7 @@
 
 pub fn run(arguments: &Arguments) -> CommandResult {
     let matrix = arguments.matrix()?;
-    let temporary = tempfile::tempdir()?;
+    let temporary = temporary_folder()?;
     let folder = arguments.logs.as_deref().unwrap_or(temporary.path());
     let options = MatrixOptions {
         program: program::find(arguments.node.as_deref())?,
@@ -114,17 +115,21 @@
         jobs: arguments.jobs.into(),
     };
     let mut all_reached = true;
-    print_header();
+    print_header()?;
+    let mut printed = Ok(());
     matrix.run(&options, |outcome| {
         let missed = outcome.missed_goals();
         all_reached &= missed.is_empty();
-        print_row(outcome, &missed);
+        if printed.is_ok() {
+            printed = print_row(outcome, &missed);
+        }
     })?;
+    printed?;
     Ok(Outcome::passed_if(all_reached))
 }
 
-fn print_header() {
-    println!(
+fn print_header() -> Result<(), OutputError> {
+    print_line(format_args!(
         "{:<10} {:<13} {:>6} {:>5} {:>8} {:>8} {:>9} {:>9} {:>11} {:>9}  missed",
         "scenario",
         "faults",
@@ -136,10 +141,10 @@
         "broken",
         "not started",
         "injected"
-    );
+    ))
 }
 
-fn print_row(outcome: &CaseOutcome, missed: &[MissedGoal]) {
+fn print_row(outcome: &CaseOutcome, missed: &[MissedGoal]) -> Result<(), OutputError> {
     let CaseOutcome {
         case,
         runs,
@@ -153,14 +158,15 @@
     } = outcome;
     let rate = case.rate.map_or("-".to_string(), |rate| rate.to_string());
     let missed: Vec<String> = missed.iter().map(MissedGoal::to_string).collect();
-    println!(
+    print_line(format_args!(
         "{:<10} {:<13} {rate:>6} {runs:>5} {service:>8.4} {baseline_service:>8.4} {p99_ratio:>9.2} \
          {violation_count:>9} {not_started:>11} {injected:>9}  {}",
         case.scenario,
         case.kind,
         missed.join(", ")
-    );
+    ))?;
     if let Some(problem) = first_problem {
-        println!("           first: {problem}");
+        print_line(format_args!("           first: {problem}"))?;
     }
+    Ok(())
 }
--- a/crates/routerctl/src/commands/testbed/mod.rs
+++ b/crates/routerctl/src/commands/testbed/mod.rs
@@ -5,6 +5,7 @@
 mod load;
 mod report;
 mod run;
+mod sizes;
 
 use clap::Subcommand;
 
@@ -21,6 +22,8 @@
     Report(report::Arguments),
     /// Run scenarios with faults of system calls and clocks beside the same without: 0 where all goals were reached
     Faults(faults::Arguments),
+    /// Run a scenario on sockets before fleets of several sizes and compare what a node needs: 0 where no limit is passed
+    Sizes(sizes::Arguments),
     /// Send requests at times of their own and measure what clients would wait: 0 where 99.9% were served
     Load(load::Arguments),
 }
@@ -32,6 +35,7 @@
         Command::Experiment(arguments) => experiment::run(&arguments),
         Command::Report(arguments) => report::run(&arguments),
         Command::Faults(arguments) => faults::run(&arguments),
+        Command::Sizes(arguments) => sizes::run(&arguments),
         Command::Load(arguments) => load::run(&arguments),
     }
 }
--- a/crates/routerctl/src/main.rs
+++ b/crates/routerctl/src/main.rs
@@ -3,6 +3,7 @@
 
 #![deny(clippy::print_stdout, clippy::print_stderr)]
 
+mod assignment;
 mod commands;
 mod outcome;
 mod output;
--- a/crates/routing-policy/src/policy.rs
+++ b/crates/routing-policy/src/policy.rs
@@ -16,9 +16,8 @@
 mod selection;
 mod slow_start;
 
-use crate::interface::*;
-use crate::log_event::LogEvent;
-use crate::state::*;
+use crate::interface::{Action, Event, Micros};
+use crate::state::{AttemptId, Timer};
 
 pub use router_state::Policy;
 
--- a/crates/routing-policy/src/policy/endpoints.rs
+++ b/crates/routing-policy/src/policy/endpoints.rs
@@ -1,15 +1,21 @@
 //! Updates of the endpoint list, the backoff of calls to discovery, and the capacities of servers.
 
-use super::*;
+use super::Policy;
+use crate::interface::{Action, Endpoint, ListUpdate, Micros, ServerId, Settings};
+use crate::log_event::LogEvent;
+use crate::state::{KeyShare, Server, Timer};
 
-/// So many routers meet each server often; of more, each meets it less often.
+/// So many routers meet each server often; each of more routers meets it less often.
 const FEW_ROUTERS: f64 = 5.0;
-const FIRST_BACKOFF_DIVISOR: Micros = 16; // of the time within which a change counts as notified
+/// The first backoff is this part of the time within which a change counts as notified.
+const FIRST_BACKOFF_DIVISOR: Micros = 16;
 /// The backoff is doubled so often: a change counts as notified after 6 s, whether the router knows it or not,
 /// and the longest backoff must leave time for the call itself.
 const BACKOFF_DOUBLINGS: u32 = 2;
-const LONGEST_BACKOFF: Micros = 1_600_000; // on the mean: the failed call may have waited for 2 s of the 6
-const LEAST_CAPACITY: f64 = 0.01; // of a server or of all, as it divides
+/// The longest mean backoff, in microseconds: the failed call may have waited for 2 s of the 6 s.
+const LONGEST_BACKOFF: Micros = 1_600_000;
+/// The least capacity of a server, and of all together, as other figures are divided by it.
+const LEAST_CAPACITY: f64 = 0.01;
 
 /// How many times less often than one of few routers this one meets each server.
 pub(super) fn visit_interval(settings: &Settings) -> f64 {
--- a/crates/routing-policy/src/policy/slow_start.rs
+++ b/crates/routing-policy/src/policy/slow_start.rs
@@ -1,14 +1,17 @@
 //! Slow start: a server that warms up gets a part of its keys that grows, and no burst of attempts.
 
-use super::*;
+use super::Policy;
+use crate::interface::{Key, ServerId};
+use crate::state::{Burst, InFlightRequest, LeakyBucket, Purpose, Server, unit_hash};
 
 /// A server that warms up gets at most this part of what makes it collapse, scaled by its present part of
 /// capacity; a warm one's attempts are taken for what it can do, though it may be able to do more.
 const SAFE_LOAD_FRACTION: f64 = 0.8;
-/// And so many roots of what comes to it in the time in which it collapses are left to chance: each router
-/// counts its own only, their sum varies by about its root, the worst of many windows is three above.
+/// So many roots of what comes to it in the time in which it collapses are left to chance: each router counts its own
+/// attempts only, their sum varies by about its root, and the worst of many windows is three roots above.
 const CHANCE_ROOTS: f64 = 3.0;
-pub(super) const HOT_KEY_REQUESTS: usize = 64; // among which a hot key was asked for twice
+/// A key is hot that was asked for twice among so many requests.
+pub(super) const HOT_KEY_REQUESTS: usize = 64;
 
 impl Policy {
     /// Whether a server may take a request. One that warms up gets a part of its keys that grows, the same
--- a/crates/routing-policy/src/state/fleet.rs
+++ b/crates/routing-policy/src/state/fleet.rs
@@ -1,8 +1,8 @@
 //! The servers of the endpoint list and their kinds.
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
-use super::{Attempt, MachineKind, Server, SmoothedTime};
+use super::{Attempt, KeyOrders, MachineKind, Server, SmoothedTime};
 use crate::interface::{EndpointState, Micros, ServerId};
 
 /// All servers, and the figures that they have together.
@@ -10,8 +10,14 @@
 pub(crate) struct Fleet {
     /// The servers that are listed or still owe an outcome.
     pub(crate) servers: BTreeMap<ServerId, Server>,
+    /// The orders of the keys over the cache servers that are ready.
+    pub(crate) key_orders: KeyOrders,
+    /// The heaviest of these, by its line of the list.
+    pub(crate) heaviest: Option<ServerId>,
     /// What was seen of each kind of machine.
     pub(crate) kinds: BTreeMap<u16, MachineKind>,
+    /// The servers whose key shares may not be whole: no others grow.
+    reduced: BTreeSet<ServerId>,
     /// Capacity of all cache servers that are ready.
     pub(crate) total_capacity: f64,
     /// Capacity of one of them on the mean.
@@ -37,6 +43,8 @@
     pub(crate) fn with_kind(&mut self, id: ServerId) -> Option<(&mut Server, &mut MachineKind)> {
         let server = self.servers.get_mut(&id)?;
         let kind = self.kinds.entry(server.endpoint.kind).or_default();
+        // Its share is cut through this reference only.
+        self.reduced.insert(id);
         Some((server, kind))
     }
 
@@ -51,11 +59,19 @@
         server.key_share.get() * self.kind_share(server)
     }
 
-    /// Adds to the key shares of all servers and kinds.
+    /// Adds to the key shares of all servers and kinds. Few servers have a reduced one, and this is done often.
     pub(crate) fn grow_key_shares(&mut self, fraction: f64) {
-        let servers = self.servers.values_mut().map(|s| &mut s.key_share);
-        let kinds = self.kinds.values_mut().map(|kind| &mut kind.key_share);
-        servers.chain(kinds).for_each(|share| share.grow(fraction));
+        let servers = &mut self.servers;
+        self.reduced.retain(|id| {
+            let Some(server) = servers.get_mut(id) else {
+                return false;
+            };
+            server.key_share.grow(fraction);
+            server.key_share.is_reduced()
+        });
+        for kind in self.kinds.values_mut() {
+            kind.key_share.grow(fraction);
+        }
     }
 
     /// Takes what was counted in a period into the rates of the kinds.
@@ -87,11 +103,14 @@
 
     /// Counts the servers of each kind that are ready and warm.
     pub(crate) fn count_warm_servers(&mut self, now: Micros, warm_up_period: Micros) {
-        for (id, kind) in &mut self.kinds {
-            let servers = self.servers.values();
-            let ready = servers.filter(|s| s.is_ready_cache() && s.endpoint.kind == *id);
-            let warm = ready.filter(|s| s.is_warm(now, warm_up_period));
-            kind.warm_servers = warm.count() as u32;
+        for kind in self.kinds.values_mut() {
+            kind.warm_servers = 0;
+        }
+        let ready = self.servers.values().filter(|s| s.is_ready_cache());
+        for server in ready.filter(|s| s.is_warm(now, warm_up_period)) {
+            if let Some(kind) = self.kinds.get_mut(&server.endpoint.kind) {
+                kind.warm_servers += 1;
+            }
         }
     }
 
@@ -119,9 +138,22 @@
         }
     }
 
-    /// Forgets servers that are removed and owe no outcome.
+    /// Forgets servers that are removed and owe no outcome, once a list has been taken in, and orders the keys
+    /// over those that are ready: in one walk, as each is a large part of what a change costs.
     pub(crate) fn forget_removed(&mut self) {
-        self.servers
-            .retain(|_, s| s.endpoint.state != EndpointState::Removed || s.in_flight > 0);
+        let mut ready = Vec::with_capacity(self.servers.len());
+        let mut heaviest: Option<(f32, ServerId)> = None;
+        self.servers.retain(|id, server| {
+            let weight = server.endpoint.weight;
+            if server.is_ready_cache() {
+                ready.push(*id);
+                if !weight.is_nan() && heaviest.is_none_or(|(most, _)| weight > most) {
+                    heaviest = Some((weight, *id));
+                }
+            }
+            server.endpoint.state != EndpointState::Removed || server.in_flight > 0
+        });
+        self.heaviest = heaviest.map(|(_, id)| id);
+        self.key_orders.set_servers(ready);
     }
 }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -4,7 +4,9 @@
 //! ([`deployment`]) are the same in both.
 //!
 //! On top of the drivers: [`experiment`] runs scenarios, seeds and variants against each other, [`compare`] and
-//! [`html_report`] evaluate them; [`atomic_file`] writes what they keep; [`load`] generates load in real time, and [`baseline`] measures one node with it.
+//! [`html_report`] evaluate them; [`atomic_file`] writes what they keep; [`fault_matrix`] compares runs with and without
+//! faults of system calls, and [`fleet_sizes`] what nodes need before fleets of several sizes; [`load`] generates load in
+//! real time, and [`baseline`] measures one node with it.
 
 pub mod atomic_file;
 pub mod baseline;
@@ -14,6 +16,7 @@
 mod event_queue;
 pub mod experiment;
 pub mod fault_matrix;
+pub mod fleet_sizes;
 pub mod html_report;
 pub mod load;
 pub mod program;
