--- a/crates/cache-router/src/client_connection/input.rs
+++ b/crates/cache-router/src/client_connection/input.rs
@@ -125,6 +125,9 @@
 
     /// Begins the next interval, if the present one is over: more may be read while commands are not taken.
     pub fn update_interval(&mut self) {
+        if self.unserved_bytes == 0 {
+            return;
+        }
         let now = Instant::now();
         if now >= self.interval_ends_at {
             self.unserved_bytes = 0;
--- a/crates/cache-router/src/client_connection/output.rs
+++ b/crates/cache-router/src/client_connection/output.rs
@@ -52,14 +52,15 @@
 
     /// Moves the replies here that are ready, in their order.
     pub fn take_ready(&mut self, replies: &mut ReplyQueue) {
-        if self.buffer.is_empty() {
-            self.progress_at = Instant::now();
-        }
+        let was_empty = self.buffer.is_empty();
         while !self.is_full()
             && let Some(reply) = replies.pop_ready()
         {
             self.buffer.extend_from_slice(&reply);
         }
+        if was_empty && !self.buffer.is_empty() {
+            self.progress_at = Instant::now();
+        }
     }
 
     /// Writes that failed for want of something on this machine.
