--- a/crates/cache-router/src/client_connection.rs
+++ b/crates/cache-router/src/client_connection.rs
@@ -25,7 +25,7 @@
 use crate::client_context::ClientContext;
 use crate::idle_connections::IdleGuard;
 use crate::lifecycle::LifecyclePhase;
-use crate::message::{ClientId, ClientReply};
+use crate::message::{ClientId, ClientReply, DepartureCause};
 use crate::socket::SocketStream;
 use close::ConnectionEnd;
 use input::{ClientInput, Intake};
@@ -61,7 +61,8 @@
     let stream = SocketStream::new(stream);
     let mut connection = ClientConnection::new(stream, context, client, from_reserve);
     match connection.run().await {
-        ConnectionEnd::ByClient => connection.end_disconnected().await,
+        ConnectionEnd::ByClient => connection.end_disconnected(DepartureCause::Closed).await,
+        ConnectionEnd::CutOff => connection.end_disconnected(DepartureCause::CutOff).await,
         ConnectionEnd::ByRouter => connection.linger().await,
     }
 }
--- a/crates/cache-router/src/client_connection/close.rs
+++ b/crates/cache-router/src/client_connection/close.rs
@@ -12,7 +12,7 @@
 use super::input::Intake;
 use super::local_failures::Disconnected;
 use crate::event_loop::in_flight::{BUSY_REPLY, FAILED_REPLY};
-use crate::message::RouterEvent;
+use crate::message::{ClientDeparture, DepartureCause, RouterEvent};
 use crate::socket::SocketStream;
 use crate::socket::errors::{classify, is_not_ready};
 use crate::socket::stream::LOCAL_RETRY_PAUSE;
@@ -30,8 +30,10 @@
 
 /// Why a connection ends.
 pub(super) enum ConnectionEnd {
-    /// The client has closed it, or takes no replies.
+    /// The client has closed it.
     ByClient,
+    /// The client takes no replies.
+    CutOff,
     /// The router closes it: between requests, or after input that is not a command.
     ByRouter,
 }
@@ -102,16 +104,21 @@
 
     /// Ends the connection of a client that has closed its side, or all of it: no attempt is sent for it any more. If it
     /// still waits, it has its final answers.
-    pub(super) async fn end_disconnected(&mut self) {
-        self.report_disconnect().await;
+    pub(super) async fn end_disconnected(&mut self, cause: DepartureCause) {
+        self.report_disconnect(cause).await;
         self.answer_at_disconnect().await;
     }
 
     /// Tells the event loop that the client is gone.
-    async fn report_disconnect(&mut self) {
+    async fn report_disconnect(&mut self, cause: DepartureCause) {
         // First: whoever is about to send for this client sees it at once, whatever is queued before the event.
         self.reply_receiver.close();
-        let event = RouterEvent::ClientDisconnected(self.client);
+        let departure = ClientDeparture {
+            client: self.client,
+            at: self.context.clock.now(),
+            cause,
+        };
+        let event = RouterEvent::ClientDisconnected(departure);
         let _ = self.context.events.send(event).await;
     }
 
--- a/crates/cache-router/src/client_connection/wait.rs
+++ b/crates/cache-router/src/client_connection/wait.rs
@@ -97,7 +97,7 @@
             WakeUp::FirstCommandOverdue | WakeUp::IdleInShutdown | WakeUp::CloseRequested => {
                 self.close_if_idle().await
             }
-            WakeUp::OutputStalled => ControlFlow::Break(ConnectionEnd::ByClient),
+            WakeUp::OutputStalled => ControlFlow::Break(ConnectionEnd::CutOff),
             WakeUp::CommandOverdue => self.handle_overdue_command().await,
         }
     }
--- a/crates/cache-router/src/clock.rs
+++ b/crates/cache-router/src/clock.rs
@@ -34,9 +34,14 @@
         }
     }
 
+    /// How long ago the clock was started, in microseconds.
+    pub fn since_start(self) -> Micros {
+        self.started_at.elapsed().as_micros() as Micros
+    }
+
     /// The time, in microseconds.
     pub fn now(self) -> Micros {
-        self.reading_at_start + self.started_at.elapsed().as_micros() as Micros
+        self.reading_at_start + self.since_start()
     }
 
     /// The instant for tokio's timers of a time on this clock.
--- a/crates/cache-router/src/event_loop.rs
+++ b/crates/cache-router/src/event_loop.rs
@@ -24,8 +24,10 @@
 use crate::connection_pool::ConnectionPool;
 use crate::discovery::{DiscoveryClient, UpdateFreshness};
 use crate::lifecycle::{Lifecycle, LifecyclePhase, ScheduledStep, ShutdownStep};
-use crate::message::{ClientId, ClientRequest, DiscoveryCall, EndpointListUpdate, RouterEvent};
-use crate::trace::Trace;
+use crate::message::{
+    ClientDeparture, ClientRequest, DiscoveryCall, EndpointListUpdate, RouterEvent,
+};
+use crate::trace::{self, Trace};
 
 use dispatcher::Dispatcher;
 use policy_driver::PolicyDriver;
@@ -127,6 +129,7 @@
             while let Some(timer) = self.timers_mut().pop_due(now) {
                 if timer == Timer::Shutdown(ShutdownStep::CheckFinished) {
                     if self.has_finished(now, &is_idle) {
+                        self.trace.line(now, format_args!("exit"));
                         return;
                     }
                     self.schedule(self.lifecycle.next_finished_check(now));
@@ -202,7 +205,7 @@
     pub fn handle_event(&mut self, event: RouterEvent) {
         match event {
             RouterEvent::ClientRequest(request) => self.handle_request(*request),
-            RouterEvent::ClientDisconnected(client) => self.handle_disconnect(client),
+            RouterEvent::ClientDisconnected(departure) => self.handle_disconnect(departure),
             RouterEvent::ServerConnection(connection, event) => {
                 let dispatcher = self.driver.dispatcher_mut();
                 dispatcher.handle_connection_event(connection, event);
@@ -239,9 +242,12 @@
     }
 
     /// Nothing is sent for a client that has disconnected any more, from whatever queue.
-    fn handle_disconnect(&mut self, client: ClientId) {
+    fn handle_disconnect(&mut self, departure: ClientDeparture) {
         let in_flight = self.driver.dispatcher().in_flight();
-        for request in in_flight.incomplete_requests_of(client) {
+        let word = trace::departure_word(departure.cause);
+        for request in in_flight.incomplete_requests_of(departure.client) {
+            self.trace
+                .line(departure.at, format_args!("{word} {request}"));
             self.driver.dispatcher_mut().cancel_request(request);
             self.driver.run();
         }
@@ -281,7 +287,9 @@
     }
 
     fn begin_shutdown(&mut self) {
-        let steps = self.lifecycle.begin_shutdown(self.clock.now());
+        let now = self.clock.now();
+        self.trace.line(now, format_args!("terminate"));
+        let steps = self.lifecycle.begin_shutdown(now);
         for step in steps.into_iter().flatten() {
             self.schedule(step);
         }
@@ -331,6 +339,9 @@
         }
         if self.driver.dispatcher().endpoints().any_ready() {
             self.lifecycle.become_ready();
+            let since_launch = self.clock.since_start();
+            self.trace
+                .line(self.clock.now(), format_args!("ready {since_launch}"));
         }
     }
 
--- a/crates/cache-router/src/event_loop/dispatcher.rs
+++ b/crates/cache-router/src/event_loop/dispatcher.rs
@@ -266,6 +266,10 @@
             self.handle_lost_attempt(id, connection, lost);
             return true;
         }
+        self.trace.line(
+            now,
+            format_args!("deadline {} {} {remaining_ms}", id.request, id.number),
+        );
         if !is_confirmed {
             self.trace.line(
                 now,
--- a/crates/cache-router/src/message.rs
+++ b/crates/cache-router/src/message.rs
@@ -16,8 +16,8 @@
 pub enum RouterEvent {
     /// A client sent a command.
     ClientRequest(Box<ClientRequest>),
-    /// A client closed its connection.
-    ClientDisconnected(ClientId),
+    /// The connection of a client is over.
+    ClientDisconnected(ClientDeparture),
     /// The state of a connection to a server changed.
     ServerConnection(ConnectionId, ServerConnectionEvent),
     /// A call to discovery returned the endpoint list or a change of it.
@@ -47,6 +47,26 @@
 /// Identifies the connection of a client; never reused.
 pub type ClientId = u64;
 
+/// The end of a client's connection with which all that it was owed is void.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct ClientDeparture {
+    /// The client.
+    pub client: ClientId,
+    /// When its close was read, or it was cut off, on the router's clock.
+    pub at: Micros,
+    /// Who ended the connection.
+    pub cause: DepartureCause,
+}
+
+/// Who ended the connection of a client.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum DepartureCause {
+    /// The client, or the network on the way.
+    Closed,
+    /// The router, as the client took none of its replies.
+    CutOff,
+}
+
 /// A parsed command of a client.
 #[derive(Debug, Clone, Default)]
 pub struct ClientCommand {
--- a/crates/cache-router/src/startup.rs
+++ b/crates/cache-router/src/startup.rs
@@ -78,6 +78,8 @@
 }
 
 fn start_and_serve() -> Result<(), StartError> {
+    // The trace tells how long after its launch the router was ready.
+    let clock = Clock::start();
     let signals = Arc::new(PendingSignals::default());
     let retries = Retries::new(StartingProcess {
         signals: signals.clone(),
@@ -102,6 +104,7 @@
     drop(unregistered);
     runtime.block_on(serve(StartedRouter {
         config,
+        clock,
         trace: Trace::new(settings.node.trace),
         listener,
         signals,
@@ -139,6 +142,7 @@
 /// What the start has made.
 struct StartedRouter {
     config: Config,
+    clock: Clock,
     trace: Trace,
     listener: TcpListener,
     signals: Arc<PendingSignals>,
@@ -150,7 +154,7 @@
     let config = router.config;
     let (events, received_events) = mpsc::channel(EVENT_CAPACITY);
     let (phase, phase_of_clients) = watch::channel(LifecyclePhase::Starting);
-    let clock = Clock::start();
+    let clock = router.clock;
     let max_connections = connections_per_side(config.max_sockets);
     let client_capacity = Arc::new(Semaphore::new(max_connections));
     let deployment = Arc::new(config.deployment);
--- a/crates/cache-router/src/trace.rs
+++ b/crates/cache-router/src/trace.rs
@@ -7,6 +7,8 @@
 use router_config::logging;
 use routing_policy::{AttemptStatus, CacheLookup, EndpointState, ListUpdate, Micros};
 
+use crate::message::DepartureCause;
+
 /// The writer of trace lines.
 #[derive(Clone, Copy)]
 pub struct Trace {
@@ -74,3 +76,11 @@
         ListUpdate::WatchSilent => "Silent",
     }
 }
+
+/// The word for a client's departure while it is owed a reply.
+pub fn departure_word(cause: DepartureCause) -> &'static str {
+    match cause {
+        DepartureCause::Closed => "departed",
+        DepartureCause::CutOff => "dropped",
+    }
+}
--- a/crates/cache-router/tests/event_loop/harness.rs
+++ b/crates/cache-router/tests/event_loop/harness.rs
@@ -11,8 +11,8 @@
 use cache_router::event_loop::{EventLoop, EventLoopConfig, STALL_THRESHOLD};
 use cache_router::lifecycle::LifecyclePhase;
 use cache_router::message::{
-    AttemptId, ClientCommand, ClientId, ClientReply, ClientRequest, ConnectionId,
-    DiscoveredEndpoint, EndpointListUpdate, RouterEvent,
+    AttemptId, ClientCommand, ClientDeparture, ClientId, ClientReply, ClientRequest, ConnectionId,
+    DepartureCause, DiscoveredEndpoint, EndpointListUpdate, RouterEvent,
 };
 use cache_router::trace::Trace;
 use routing_policy::{AttemptStatus, ListUpdate, Micros, RequestId, ServerId};
@@ -133,6 +133,15 @@
         self.event_loop.handle_event(event);
     }
 
+    /// The client closes its connection.
+    pub fn disconnect(&mut self) {
+        self.handle(RouterEvent::ClientDisconnected(ClientDeparture {
+            client: CLIENT,
+            at: self.clock.now(),
+            cause: DepartureCause::Closed,
+        }));
+    }
+
     /// Has the event loop handle a timer.
     pub fn fire(&mut self, timer: Timer, now: Micros) {
         self.event_loop.handle_timer(timer, now);
--- a/crates/cache-router/tests/event_loop/revoked_sends.rs
+++ b/crates/cache-router/tests/event_loop/revoked_sends.rs
@@ -16,7 +16,7 @@
     let mut harness = Harness::new().await;
     harness.request("1d");
     let mut stream = harness.accept().await;
-    harness.handle(RouterEvent::ClientDisconnected(CLIENT));
+    harness.disconnect();
     harness.assert_nothing_in_flight();
     assert!(harness.pool().waiting_attempts(harness.server()).is_empty());
     harness.step().await; // The connection is established.
@@ -27,7 +27,7 @@
 async fn a_request_whose_client_disconnects_before_the_first_byte_is_never_written() {
     let (mut harness, mut stream) = Harness::with_idle_connection().await;
     harness.request("1d"); // Handed to the idle connection, whose task has not run yet.
-    harness.handle(RouterEvent::ClientDisconnected(CLIENT));
+    harness.disconnect();
     harness.assert_nothing_in_flight();
     harness.step().await; // The connection has noticed, and is free.
     harness.request_and_serve(&mut stream, "2d").await;
@@ -144,7 +144,7 @@
     while harness.pool().write_progress(connection) != WriteProgress::Writing {
         tokio::task::yield_now().await;
     }
-    harness.handle(RouterEvent::ClientDisconnected(CLIENT));
+    harness.disconnect();
     assert_eq!(harness.in_flight().attempt_count(), 0);
     assert_eq!(harness.pool().state(connection), None);
     let mut received = Vec::new();
--- a/crates/cache-router/tests/router_process/main.rs
+++ b/crates/cache-router/tests/router_process/main.rs
@@ -17,3 +17,4 @@
 mod shutdown;
 mod start;
 mod support;
+mod trace_lines;
