--- a/crates/testbed/src/deployment.rs
+++ b/crates/testbed/src/deployment.rs
@@ -186,11 +186,15 @@
     })
 }
 
+/// The longest deadline of all classes, in microseconds.
+pub fn longest_deadline(scenario: &Scenario) -> Micros {
+    let deadlines = scenario.classes.iter().map(|class| micros(class.deadline));
+    deadlines.max().unwrap_or(0)
+}
+
 /// How soon after SIGTERM the platform may kill a node, in microseconds.
 pub fn earliest_kill_after_terminate(scenario: &Scenario) -> Micros {
-    let deadlines = scenario.classes.iter().map(|class| micros(class.deadline));
-    let longest = deadlines.max().unwrap_or(0);
-    longest.min(KILL_LONGEST_DEADLINE) + KILL_SLACK
+    longest_deadline(scenario).min(KILL_LONGEST_DEADLINE) + KILL_SLACK
 }
 
 /// Whether requests of a class, by its index, may run more than once.
--- a/crates/testbed/src/sockets/cluster/mod.rs
+++ b/crates/testbed/src/sockets/cluster/mod.rs
@@ -94,6 +94,8 @@
     discovery: Discovery,
     invariants: Invariants,
     requests: BTreeMap<RequestId, OpenRequest>,
+    /// How long requests are kept after their end.
+    request_retention: Micros,
     jobs: BTreeMap<JobId, Job>,
     last_job: JobId,
     cuts: ZoneCuts,
@@ -114,6 +116,7 @@
             origin: deployment::origin(scenario, now),
             invariants: deployment::invariants(scenario, SENT_GRACE),
             requests: BTreeMap::new(),
+            request_retention: requests::retention(scenario),
             jobs: BTreeMap::new(),
             last_job: 0,
             cuts: ZoneCuts::default(),
--- a/crates/testbed/src/sockets/cluster/requests.rs
+++ b/crates/testbed/src/sockets/cluster/requests.rs
@@ -1,12 +1,24 @@
-//! Requests that clients have open at nodes. A request is kept a little longer than its end, as attempts that were under
-//! way may still arrive.
+//! Requests that clients have open at nodes. A request is kept for a while after its end, so that attempts that begin too
+//! late are recognised and reported to the invariants.
 
 use cluster_model::Micros;
 use cluster_model::endpoint_list::NodeId;
+use cluster_model::invariants::InvariantLimits;
 
 use super::{ClusterState, RequestId, SENT_GRACE, ServerNumber};
 use crate::clients::Client;
 use crate::deployment;
+use crate::scenario::Scenario;
+
+/// Requests that have ended and are kept at most; beyond it the earliest are forgotten.
+const MAX_ENDED_REQUESTS: usize = 100_000;
+
+/// How long requests of a scenario are kept after their end: a node may send an attempt until the longest deadline has
+/// passed, and its answer may take the grace on top.
+pub(super) fn retention(scenario: &Scenario) -> Micros {
+    let graces = InvariantLimits::default().answer_grace + 2 * SENT_GRACE;
+    deployment::longest_deadline(scenario) + graces
+}
 
 /// A request as the cluster knows it.
 pub(super) struct OpenRequest {
@@ -29,11 +41,14 @@
 }
 
 impl OpenRequest {
-    fn can_be_forgotten(&self, now: Micros) -> bool {
-        self.attempts_in_flight == 0
-            && self
-                .ended_at
-                .is_some_and(|ended_at| ended_at + 2 * SENT_GRACE < now)
+    /// Whether it has ended and has no attempt in flight.
+    fn is_over(&self) -> bool {
+        self.attempts_in_flight == 0 && self.ended_at.is_some()
+    }
+
+    fn can_be_forgotten(&self, now: Micros, retention: Micros) -> bool {
+        let ended_long_ago = |ended_at| ended_at + retention < now;
+        self.is_over() && self.ended_at.is_some_and(ended_long_ago)
     }
 }
 
@@ -91,12 +106,18 @@
         self.forget_if_over(now, request);
     }
 
-    /// Forgets all requests that are over.
+    /// Forgets all requests that ended long ago, and the earliest of the others that are over where these are too many.
     pub fn forget_requests_over(&mut self, now: Micros) {
         let requests: Vec<RequestId> = self.requests.keys().copied().collect();
         for request in requests {
             self.forget_if_over(now, request);
         }
+        let over = self.requests.iter().filter(|(_, open)| open.is_over());
+        let over: Vec<RequestId> = over.map(|(request, _)| *request).collect();
+        let excess = over.len().saturating_sub(MAX_ENDED_REQUESTS);
+        for request in &over[..excess] {
+            self.forget(*request);
+        }
     }
 
     /// A node was killed: its clients ask again for what it had open.
@@ -120,13 +141,20 @@
         Some(open.node)
     }
 
-    /// Forgets a request that ended some time ago and has no attempt in flight.
+    /// Forgets a request that ended long ago and has no attempt in flight.
     pub(super) fn forget_if_over(&mut self, now: Micros, request: RequestId) {
+        let retention = self.request_retention;
         let over = self
             .requests
             .get(&request)
-            .is_some_and(|open| open.can_be_forgotten(now));
-        if over && let Some(open) = self.requests.remove(&request) {
+            .is_some_and(|open| open.can_be_forgotten(now, retention));
+        if over {
+            self.forget(request);
+        }
+    }
+
+    fn forget(&mut self, request: RequestId) {
+        if let Some(open) = self.requests.remove(&request) {
             self.invariants.forget((open.node, request));
         }
     }
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -25,7 +25,7 @@
 
 pub(crate) mod client_connections;
 mod clock;
-mod cluster;
+pub mod cluster;
 mod driver;
 mod error;
 mod fault_injection;
--- /dev/null
+++ b/crates/testbed/tests/sockets_rules.rs
@@ -0,0 +1,101 @@
+//! The rules of the protocol as the cluster of the driver on sockets applies them, without sockets and at given times.
+#![allow(
+    missing_docs,
+    clippy::unwrap_used,
+    clippy::expect_used,
+    reason = "test code"
+)]
+
+use std::path::PathBuf;
+use std::time::Duration;
+
+use cluster_model::Micros;
+use router_config::Span;
+use testbed::Scenario;
+use testbed::clients::Client;
+use testbed::sockets::cluster::{ClusterState, RequestId};
+
+const START: Micros = 1_000_000_000;
+const MILLISECOND: Micros = 1_000;
+const SECOND: Micros = 1_000_000;
+const NODE: u32 = 0;
+
+fn scenario() -> Scenario {
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("scenarios/demo.toml");
+    let mut scenario = Scenario::read(&path).unwrap();
+    scenario.faults = Vec::new();
+    for class in &mut scenario.classes {
+        class.deadline = Span(Duration::from_secs(2));
+    }
+    scenario
+}
+
+fn cluster(scenario: &Scenario) -> ClusterState {
+    ClusterState::new(scenario, 1, START)
+}
+
+fn begin_request(cluster: &mut ClusterState, now: Micros, request: RequestId) {
+    let deadline = now + 2 * SECOND;
+    let client = Client {
+        class: 0,
+        key: request,
+        work: 1_000.0,
+        intended_at: now,
+        deadline,
+        leaves_at: deadline,
+        attempts: 1,
+        assignment: None,
+    };
+    cluster.begin_request(now, request, NODE, &client);
+}
+
+/// The violations so far, in words.
+fn violations(cluster: &mut ClusterState) -> Vec<String> {
+    let violations = cluster.end(START).violations();
+    violations.iter().map(ToString::to_string).collect()
+}
+
+fn violates(cluster: &mut ClusterState, violation: &str) -> bool {
+    violations(cluster)
+        .iter()
+        .any(|shown| shown.contains(violation))
+}
+
+#[test]
+fn an_attempt_long_after_the_end_of_its_request_is_seen() {
+    for after in [200 * MILLISECOND, 2 * SECOND] {
+        let mut cluster = cluster(&scenario());
+        begin_request(&mut cluster, START, 1);
+        cluster.request_answered(START + MILLISECOND, 1, false);
+        let sent_at = START + MILLISECOND + after;
+        cluster.forget_requests_over(sent_at);
+        cluster.attempt_at_server(sent_at, 1, 1);
+        assert!(violates(&mut cluster, "after its end"), "{after}");
+    }
+}
+
+#[test]
+fn requests_that_ended_are_forgotten_once_no_attempt_can_be_meant_for_them() {
+    let mut cluster = cluster(&scenario());
+    begin_request(&mut cluster, START, 1);
+    cluster.request_answered(START, 1, false);
+    cluster.forget_requests_over(START + 10 * SECOND);
+    assert!(
+        cluster
+            .attempt_at_server(START + 10 * SECOND, 1, 1)
+            .is_none()
+    );
+}
+
+#[test]
+fn of_the_requests_that_ended_a_bounded_number_is_kept() {
+    let mut cluster = cluster(&scenario());
+    let last = 200_000;
+    for request in 1..=last {
+        begin_request(&mut cluster, START, request);
+        cluster.request_answered(START, request, false);
+    }
+    cluster.forget_requests_over(START);
+    assert!(cluster.attempt_at_server(START, 1, 1).is_none());
+    assert!(cluster.attempt_at_server(START, 1, last).is_some());
+}
