--- a/crates/testbed/src/sockets/cluster/attempts.rs
+++ b/crates/testbed/src/sockets/cluster/attempts.rs
@@ -85,7 +85,7 @@
         self.count(intended_at, CountedKind::Attempt);
         *self.attempts_by_server.entry(number).or_default() += 1;
         let started = self.servers.get(&number)?.cache.started();
-        let informed = self.discovery.knows_start(now, node, number, started);
+        let informed = self.knows_start(now, node, number, started);
         let pending = self.add_job(Some(number), request, attempt);
         let lookup = Lookup {
             key,
--- a/crates/testbed/src/sockets/cluster/discovery.rs
+++ b/crates/testbed/src/sockets/cluster/discovery.rs
@@ -8,7 +8,7 @@
     Condition, EndpointList, EndpointListConfig, EndpointRecord, ListCall, ListResponse, NodeId,
     NodeResponse,
 };
-use cluster_model::invariants::{InvariantLimits, Invariants};
+use cluster_model::invariants::Invariants;
 use tokio::sync::mpsc;
 
 use super::{ClusterState, ServerNumber};
@@ -38,8 +38,6 @@
     /// Who waits for messages: the call or watch that each node has open.
     waiting: BTreeMap<NodeId, mpsc::Sender<ListResponse>>,
     written: BTreeMap<NodeId, WrittenList>,
-    /// When each cache server's latest start became known.
-    start_known_at: BTreeMap<ServerNumber, Micros>,
 }
 
 impl Discovery {
@@ -51,28 +49,15 @@
             list: EndpointList::new(config, servers),
             waiting: BTreeMap::new(),
             written: BTreeMap::new(),
-            start_known_at: BTreeMap::new(),
         }
     }
 
-    /// Whether a node knows of a server's latest start: it was written to it, or became known long enough ago.
-    pub(super) fn knows_start(
-        &self,
-        now: Micros,
-        node: NodeId,
-        server: ServerNumber,
-        started: Micros,
-    ) -> bool {
-        let record = self
-            .written
-            .get(&node)
-            .and_then(|written| written.records.get(&server));
-        let was_written = record.is_some_and(|record| record.started >= started);
-        let counts_as_known = self
-            .start_known_at
-            .get(&server)
-            .is_some_and(|known_at| now >= known_at + InvariantLimits::default().notified_after);
-        was_written || counts_as_known
+    /// Whether a server's latest start was written to a node.
+    fn start_was_written(&self, node: NodeId, server: ServerNumber, started: Micros) -> bool {
+        let written = self.written.get(&node);
+        written
+            .and_then(|written| written.records.get(&server))
+            .is_some_and(|record| record.started >= started)
     }
 
     /// When [`Discovery::run_due`] has something to do.
@@ -229,9 +214,6 @@
     pub fn endpoint_changed(&mut self, now: Micros, record: EndpointRecord) {
         let ready = record.condition == Condition::Ready;
         self.invariants.readiness_known(now, record.server, ready);
-        if ready {
-            self.discovery.start_known_at.insert(record.server, now);
-        }
         for notification in self.discovery.list.publish(now, record) {
             self.discovery
                 .notify(notification.node, notification.response);
@@ -245,8 +227,21 @@
         self.discovery.notify_all(messages);
     }
 
+    /// Whether a node knows of a server's latest start, or counts as notified of it.
+    pub(super) fn knows_start(
+        &self,
+        now: Micros,
+        node: NodeId,
+        server: ServerNumber,
+        started: Micros,
+    ) -> bool {
+        self.discovery.start_was_written(node, server, started)
+            || self.invariants.start_counts_as_notified(now, server)
+    }
+
     /// The discovery service goes down or comes back.
     pub fn set_discovery_up(&mut self, now: Micros, up: bool) {
+        self.invariants.discovery_reachable(now, up);
         let messages = self.discovery.list.set_available(now, up);
         self.discovery.notify_all(messages);
     }
--- a/crates/testbed/tests/sockets_rules.rs
+++ b/crates/testbed/tests/sockets_rules.rs
@@ -10,10 +10,11 @@
 use std::time::Duration;
 
 use cluster_model::Micros;
+use cluster_model::endpoint_list::{Condition, EndpointRecord};
 use router_config::Span;
 use testbed::Scenario;
 use testbed::clients::Client;
-use testbed::sockets::cluster::{ClusterState, RequestId};
+use testbed::sockets::cluster::{ClusterState, RequestId, ServerNumber};
 
 const START: Micros = 1_000_000_000;
 const MILLISECOND: Micros = 1_000;
@@ -99,3 +100,59 @@
     assert!(cluster.attempt_at_server(START, 1, 1).is_none());
     assert!(cluster.attempt_at_server(START, 1, last).is_some());
 }
+
+fn publish(cluster: &mut ClusterState, now: Micros, server: ServerNumber, condition: Condition) {
+    let record = EndpointRecord {
+        server,
+        condition,
+        started: if condition == Condition::Ready {
+            now
+        } else {
+            0
+        },
+    };
+    cluster.endpoint_changed(now, record);
+}
+
+#[test]
+fn a_node_counts_as_notified_of_a_drain_only_once_discovery_can_be_reached() {
+    for (reachable, violated) in [(true, true), (false, false)] {
+        let mut cluster = cluster(&scenario());
+        cluster.set_discovery_up(START, reachable);
+        publish(&mut cluster, START, 1, Condition::Draining);
+        let now = START + 8 * SECOND;
+        begin_request(&mut cluster, now, 1);
+        cluster.attempt_at_server(now, 1, 1);
+        assert_eq!(violates(&mut cluster, "drain: "), violated);
+    }
+}
+
+/// Sends requests at once to a server that has just started, until it collapses.
+fn overload(cluster: &mut ClusterState, now: Micros, server: ServerNumber) {
+    for request in 1..10_000 {
+        begin_request(cluster, now, request);
+        cluster.attempt_at_server(now, server, request);
+        if cluster.take_events().collapsed.contains(&server) {
+            return;
+        }
+    }
+    panic!("the server does not collapse");
+}
+
+#[test]
+fn a_node_counts_as_notified_of_a_start_only_once_discovery_can_be_reached() {
+    for (reachable, violated) in [(true, true), (false, false)] {
+        let mut scenario = scenario();
+        for kind in &mut scenario.kinds {
+            kind.cold_share = 0.05;
+            kind.warm_up = Span(Duration::from_secs(60));
+        }
+        let mut cluster = cluster(&scenario);
+        cluster.stop_server(START, 1);
+        cluster.restart_server(START, 1);
+        cluster.set_discovery_up(START, reachable);
+        publish(&mut cluster, START, 1, Condition::Ready);
+        overload(&mut cluster, START + 7 * SECOND, 1);
+        assert_eq!(violates(&mut cluster, "failback: "), violated);
+    }
+}
