--- a/crates/testbed/src/sockets/cluster/attempts.rs
+++ b/crates/testbed/src/sockets/cluster/attempts.rs
@@ -48,6 +48,15 @@
     }
 }
 
+/// An attempt as a cache server or the origin receives it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct ReceivedAttempt {
+    /// The request that it is for.
+    pub request: RequestId,
+    /// How much time is left, by what the node says, in microseconds.
+    pub remaining: Option<Micros>,
+}
+
 /// An attempt whose reply a connection waits for.
 pub struct PendingAttempt {
     /// Names it, for [`ClusterState::cancel_attempt`].
@@ -77,9 +86,10 @@
         &mut self,
         now: Micros,
         number: ServerNumber,
-        request: RequestId,
+        received: ReceivedAttempt,
     ) -> Option<PendingAttempt> {
-        let SentAttempt { node, attempt } = self.record_sent(now, request, number)?;
+        let SentAttempt { node, attempt } = self.record_sent(now, received, number)?;
+        let request = received.request;
         let open = self.requests.get(&request)?;
         let (key, work, intended_at) = (open.key, open.work, open.intended_at);
         self.count(intended_at, CountedKind::Attempt);
@@ -111,8 +121,13 @@
     }
 
     /// An attempt of a request reaches the origin; `None` where the request is not known.
-    pub fn attempt_at_origin(&mut self, now: Micros, request: RequestId) -> Option<PendingAttempt> {
-        let SentAttempt { attempt, .. } = self.record_sent(now, request, ORIGIN_NUMBER)?;
+    pub fn attempt_at_origin(
+        &mut self,
+        now: Micros,
+        received: ReceivedAttempt,
+    ) -> Option<PendingAttempt> {
+        let SentAttempt { attempt, .. } = self.record_sent(now, received, ORIGIN_NUMBER)?;
+        let request = received.request;
         let intended_at = self.requests.get(&request)?.intended_at;
         self.count(intended_at, CountedKind::OriginCall);
         let mean_work = micros(self.scenario.origin.work) as f64;
@@ -195,13 +210,14 @@
         self.events.collapsed.push(number);
     }
 
-    /// Numbers an attempt, and tells the invariants when it was sent.
+    /// Numbers an attempt, and tells the invariants when it was sent and how much time it says is left.
     fn record_sent(
         &mut self,
         now: Micros,
-        request: RequestId,
+        received: ReceivedAttempt,
         server: ServerNumber,
     ) -> Option<SentAttempt> {
+        let request = received.request;
         let open = self.requests.get_mut(&request)?;
         let (node, attempt) = (open.node, open.attempts);
         open.attempts += 1;
@@ -223,6 +239,12 @@
         };
         self.invariants
             .sent(sent_at, (node, request), attempt, server);
+        if let Some(remaining) = received.remaining {
+            let unread_time = self.suspensions.unread_time(now, node, begun_at);
+            let remaining = remaining.saturating_sub(unread_time);
+            self.invariants
+                .told_deadline(sent_at, (node, request), remaining);
+        }
         Some(SentAttempt { node, attempt })
     }
 
--- a/crates/testbed/src/sockets/cluster/mod.rs
+++ b/crates/testbed/src/sockets/cluster/mod.rs
@@ -8,6 +8,7 @@
 mod discovery;
 mod faults;
 mod requests;
+mod suspensions;
 mod warm_up;
 
 use std::collections::BTreeMap;
@@ -20,7 +21,7 @@
 use cluster_model::server::CacheServer;
 use cluster_model::{Micros, RandomStream, random_stream};
 
-pub use attempts::{AttemptReply, PendingAttempt};
+pub use attempts::{AttemptReply, PendingAttempt, ReceivedAttempt};
 
 use crate::clients::Stream;
 use crate::deployment;
@@ -29,6 +30,8 @@
 use cuts::ZoneCuts;
 use discovery::Discovery;
 use requests::OpenRequest;
+pub use suspensions::HEARTBEAT_INTERVAL;
+use suspensions::Suspensions;
 
 /// The number of a cache server; they count from 1.
 pub type ServerNumber = u32;
@@ -99,6 +102,7 @@
     jobs: BTreeMap<JobId, Job>,
     last_job: JobId,
     cuts: ZoneCuts,
+    suspensions: Suspensions,
     work_random: RandomStream,
     fault_random: RandomStream,
     events: ClusterEvents,
@@ -120,6 +124,7 @@
             jobs: BTreeMap::new(),
             last_job: 0,
             cuts: ZoneCuts::default(),
+            suspensions: Suspensions::default(),
             work_random: random_stream(seed, Stream::Work as u64 + SOCKETS_STREAM_OFFSET),
             fault_random: random_stream(seed, Stream::Faults as u64),
             events: ClusterEvents::default(),
@@ -171,11 +176,13 @@
 
     /// A node's process was paused.
     pub fn node_paused(&mut self, now: Micros, node: NodeId) {
+        self.suspensions.paused(now, node);
         self.invariants.paused(now, node);
     }
 
     /// A node's process goes on after a pause.
     pub fn node_resumed(&mut self, now: Micros, node: NodeId) {
+        self.suspensions.resumed(now, node);
         self.invariants.resumed(now, node);
     }
 
--- a/crates/testbed/src/sockets/services/cache_server.rs
+++ b/crates/testbed/src/sockets/services/cache_server.rs
@@ -11,8 +11,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinSet;
 
-use super::CORRUPT_REPLY;
-use crate::sockets::cluster::{AttemptReply, PendingAttempt, RequestId, ServerNumber};
+use super::{CORRUPT_REPLY, remaining_deadline};
+use crate::sockets::cluster::{
+    AttemptReply, PendingAttempt, ReceivedAttempt, RequestId, ServerNumber,
+};
 use crate::sockets::shared::SharedCluster;
 
 /// Pause after a failed accept, when the process is out of sockets: an open connection may end meanwhile.
@@ -44,7 +46,7 @@
 enum Command {
     Ping,
     /// A read on behalf of a request.
-    Get(RequestId),
+    Get(ReceivedAttempt),
     /// Something that no node sends.
     Unknown,
 }
@@ -57,12 +59,20 @@
         };
         match words[..] {
             ["PING"] => Command::Ping,
-            ["OBJ.GET", _, request, _] => {
-                RequestId::from_str_radix(request, 16).map_or(Command::Unknown, Command::Get)
-            }
+            ["OBJ.GET", _, request, fields] => Command::parse_get(request, fields),
             _ => Command::Unknown,
         }
     }
+
+    fn parse_get(request: &str, fields: &str) -> Command {
+        let Ok(request) = RequestId::from_str_radix(request, 16) else {
+            return Command::Unknown;
+        };
+        Command::Get(ReceivedAttempt {
+            request,
+            remaining: remaining_deadline(fields),
+        })
+    }
 }
 
 /// What becomes of a connection after a command.
@@ -125,19 +135,19 @@
     }
 
     async fn answer(&mut self, frame: &BytesFrame) -> std::io::Result<Next> {
-        let request = match Command::parse(frame) {
+        let received = match Command::parse(frame) {
             Command::Ping => {
                 let pong = BytesFrame::SimpleString(Bytes::from_static(b"PONG"));
                 return Ok(Next::Reply(pong));
             }
             Command::Unknown => return Ok(error("SYNTAX no client sent this")),
-            Command::Get(request) => request,
+            Command::Get(received) => received,
         };
         let now = self.shared.now();
         let attempt = self
             .shared
             .state()
-            .attempt_at_server(now, self.server, request);
+            .attempt_at_server(now, self.server, received);
         let Some(attempt) = attempt else {
             return Ok(error("ERR failed"));
         };
--- a/crates/testbed/src/sockets/services/origin.rs
+++ b/crates/testbed/src/sockets/services/origin.rs
@@ -11,12 +11,14 @@
 use bytes::Bytes;
 use tokio::net::TcpListener;
 
-use super::CORRUPT_REPLY;
-use crate::sockets::cluster::{AttemptReply, RequestId};
+use super::{CORRUPT_REPLY, remaining_deadline};
+use crate::sockets::cluster::{AttemptReply, ReceivedAttempt, RequestId};
 use crate::sockets::shared::SharedCluster;
 
 /// The header in which a node names the request that a call is for.
 const REQUEST_HEADER: &str = "x-correlation-id";
+/// The header with the fields of the request, among them the time that is left.
+const FIELDS_HEADER: &str = "x-facts";
 
 /// Serves the origin's connections, for ever. They end with this task.
 ///
@@ -30,12 +32,12 @@
 }
 
 async fn fetch(State(shared): State<Arc<SharedCluster>>, headers: HeaderMap) -> Response {
-    let Some(request) = request_id(&headers) else {
+    let Some(received) = received_attempt(&headers) else {
         return (StatusCode::BAD_REQUEST, "no request of a client").into_response();
     };
     let now = shared.now();
     // Bound outside of the match: the lock is not held while it waits.
-    let attempt = shared.state().attempt_at_origin(now, request);
+    let attempt = shared.state().attempt_at_origin(now, received);
     shared.notify_due_changed();
     let Some(attempt) = attempt else {
         return StatusCode::INTERNAL_SERVER_ERROR.into_response();
@@ -54,9 +56,13 @@
     }
 }
 
-fn request_id(headers: &HeaderMap) -> Option<RequestId> {
-    let id = headers.get(REQUEST_HEADER)?.to_str().ok()?;
-    RequestId::from_str_radix(id, 16).ok()
+fn received_attempt(headers: &HeaderMap) -> Option<ReceivedAttempt> {
+    let text = |name| headers.get(name).and_then(|value| value.to_str().ok());
+    let request = RequestId::from_str_radix(text(REQUEST_HEADER)?, 16).ok()?;
+    Some(ReceivedAttempt {
+        request,
+        remaining: text(FIELDS_HEADER).and_then(remaining_deadline),
+    })
 }
 
 /// A response that breaks off in its head: a process that dies takes its connections with it.
--- a/crates/testbed/src/sockets/shared.rs
+++ b/crates/testbed/src/sockets/shared.rs
@@ -4,6 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
 
 use bytes::Bytes;
 use cluster_model::Micros;
@@ -13,7 +14,7 @@
 use tokio::sync::Notify;
 
 use super::clock::Clock;
-use super::cluster::{ClusterState, ServerNumber, server_name};
+use super::cluster::{ClusterState, HEARTBEAT_INTERVAL, ServerNumber, server_name};
 use crate::scenario::Scenario;
 
 /// Locks a mutex, poisoned or not: a panic of another task fails the run anyway.
@@ -220,6 +221,16 @@
     }
 }
 
+/// Shows the cluster that the testbed runs, for ever. The run's driver owns this task and ends it.
+pub async fn send_heartbeats(shared: Arc<SharedCluster>) {
+    let interval = Duration::from_micros(HEARTBEAT_INTERVAL);
+    loop {
+        let now = shared.now();
+        shared.state().heartbeat(now);
+        tokio::time::sleep(interval).await;
+    }
+}
+
 /// Makes what is due in the cluster happen, for ever. The run's driver owns this task and ends it.
 pub async fn run_due_work(shared: Arc<SharedCluster>) {
     loop {
--- a/crates/testbed/tests/sockets_rules.rs
+++ b/crates/testbed/tests/sockets_rules.rs
@@ -14,7 +14,9 @@
 use router_config::Span;
 use testbed::Scenario;
 use testbed::clients::Client;
-use testbed::sockets::cluster::{ClusterState, RequestId, ServerNumber};
+use testbed::sockets::cluster::{
+    ClusterState, HEARTBEAT_INTERVAL, ReceivedAttempt, RequestId, ServerNumber,
+};
 
 const START: Micros = 1_000_000_000;
 const MILLISECOND: Micros = 1_000;
@@ -50,6 +52,14 @@
     cluster.begin_request(now, request, NODE, &client);
 }
 
+/// An attempt that tells no time.
+fn attempt_of(request: RequestId) -> ReceivedAttempt {
+    ReceivedAttempt {
+        request,
+        remaining: None,
+    }
+}
+
 /// The violations so far, in words.
 fn violations(cluster: &mut ClusterState) -> Vec<String> {
     let violations = cluster.end(START).violations();
@@ -70,7 +80,7 @@
         cluster.request_answered(START + MILLISECOND, 1, false);
         let sent_at = START + MILLISECOND + after;
         cluster.forget_requests_over(sent_at);
-        cluster.attempt_at_server(sent_at, 1, 1);
+        cluster.attempt_at_server(sent_at, 1, attempt_of(1));
         assert!(violates(&mut cluster, "after its end"), "{after}");
     }
 }
@@ -83,7 +93,7 @@
     cluster.forget_requests_over(START + 10 * SECOND);
     assert!(
         cluster
-            .attempt_at_server(START + 10 * SECOND, 1, 1)
+            .attempt_at_server(START + 10 * SECOND, 1, attempt_of(1))
             .is_none()
     );
 }
@@ -97,8 +107,12 @@
         cluster.request_answered(START, request, false);
     }
     cluster.forget_requests_over(START);
-    assert!(cluster.attempt_at_server(START, 1, 1).is_none());
-    assert!(cluster.attempt_at_server(START, 1, last).is_some());
+    assert!(cluster.attempt_at_server(START, 1, attempt_of(1)).is_none());
+    assert!(
+        cluster
+            .attempt_at_server(START, 1, attempt_of(last))
+            .is_some()
+    );
 }
 
 fn publish(cluster: &mut ClusterState, now: Micros, server: ServerNumber, condition: Condition) {
@@ -122,7 +136,7 @@
         publish(&mut cluster, START, 1, Condition::Draining);
         let now = START + 8 * SECOND;
         begin_request(&mut cluster, now, 1);
-        cluster.attempt_at_server(now, 1, 1);
+        cluster.attempt_at_server(now, 1, attempt_of(1));
         assert_eq!(violates(&mut cluster, "drain: "), violated);
     }
 }
@@ -131,7 +145,7 @@
 fn overload(cluster: &mut ClusterState, now: Micros, server: ServerNumber) {
     for request in 1..10_000 {
         begin_request(cluster, now, request);
-        cluster.attempt_at_server(now, server, request);
+        cluster.attempt_at_server(now, server, attempt_of(request));
         if cluster.take_events().collapsed.contains(&server) {
             return;
         }
@@ -156,3 +170,52 @@
         assert_eq!(violates(&mut cluster, "failback: "), violated);
     }
 }
+
+#[test]
+fn attempts_at_cache_servers_and_the_origin_may_tell_what_is_left_and_no_more() {
+    // Half of the deadline has passed when they are sent.
+    let sent_at = START + SECOND;
+    let (left, slack) = (SECOND, 150 * MILLISECOND);
+    for (told, violated) in [(left + slack, false), (left + 2 * slack, true)] {
+        let received = ReceivedAttempt {
+            request: 1,
+            remaining: Some(told),
+        };
+        let mut at_server = cluster(&scenario());
+        begin_request(&mut at_server, START, 1);
+        at_server.attempt_at_server(sent_at, 1, received);
+        assert_eq!(violates(&mut at_server, "deadline: "), violated);
+        let mut at_origin = cluster(&scenario());
+        begin_request(&mut at_origin, START, 1);
+        at_origin.attempt_at_origin(sent_at, received);
+        assert_eq!(violates(&mut at_origin, "deadline: "), violated);
+    }
+}
+
+/// An attempt that tells the whole deadline half a second after its request, which was sent in a pause or stall.
+fn tells_whole_deadline(cluster: &mut ClusterState, now: Micros) {
+    begin_request(cluster, now - 500 * MILLISECOND, 1);
+    let received = ReceivedAttempt {
+        request: 1,
+        remaining: Some(2 * SECOND),
+    };
+    cluster.attempt_at_server(now, 1, received);
+}
+
+#[test]
+fn a_node_knows_nothing_of_the_time_in_which_a_request_lay_unread() {
+    let now = START + SECOND;
+    let mut running = cluster(&scenario());
+    running.heartbeat(now - HEARTBEAT_INTERVAL);
+    tells_whole_deadline(&mut running, now);
+    assert!(violates(&mut running, "deadline: "));
+    let mut paused = cluster(&scenario());
+    paused.node_paused(START, NODE);
+    paused.node_resumed(now, NODE);
+    tells_whole_deadline(&mut paused, now);
+    assert!(!violates(&mut paused, "deadline: "));
+    let mut stalled = cluster(&scenario());
+    stalled.heartbeat(START);
+    tells_whole_deadline(&mut stalled, now);
+    assert!(!violates(&mut stalled, "deadline: "));
+}
