--- a/crates/testbed/src/sockets/cluster/mod.rs
+++ b/crates/testbed/src/sockets/cluster/mod.rs
@@ -174,6 +174,11 @@
         &self.invariants
     }
 
+    /// The invariants with the violations so far.
+    pub fn invariants(&self) -> &Invariants {
+        &self.invariants
+    }
+
     /// A node's process was paused.
     pub fn node_paused(&mut self, now: Micros, node: NodeId) {
         self.suspensions.paused(now, node);
--- a/crates/testbed/src/sockets/driver/clients.rs
+++ b/crates/testbed/src/sockets/driver/clients.rs
@@ -52,23 +52,33 @@
             .state()
             .begin_request(now, request, node, &client);
         let command = self.request_command(now, request, client_id, &client);
-        let gives_up_at = self.shared.instant(client.leaves_at);
+        let leaves_at = self.shared.instant(client.leaves_at);
+        let closes = client.leaves_at < client.deadline;
         let connections = self.nodes[node as usize].connections().clone();
         let shared = self.shared.clone();
         let messages = self.message_sender.clone();
         self.tasks.spawn(async move {
+            let report = async |result| {
+                let message = Message::RequestEnded {
+                    client: client_id,
+                    request,
+                    result,
+                };
+                // Without a driver nobody waits for it any more.
+                let _ = messages.send(message).await;
+            };
             let reply = connections.request(&command, shared.value());
-            let result = match tokio::time::timeout_at(gives_up_at, reply).await {
+            tokio::pin!(reply);
+            let result = match tokio::time::timeout_at(leaves_at, &mut reply).await {
                 Ok(result) => RequestResult::Ended(result),
-                Err(_) => RequestResult::ClientGone,
-            };
-            let message = Message::RequestEnded {
-                client: client_id,
-                request,
-                result,
+                Err(_) if closes => RequestResult::ClientGone,
+                Err(_) => {
+                    report(RequestResult::DeadlinePassed).await;
+                    // For as long as the run lasts: a pause of the node's process may postpone its answer.
+                    RequestResult::Ended(reply.await)
+                }
             };
-            // Without a driver nobody waits for it any more.
-            let _ = messages.send(message).await;
+            report(result).await;
         });
     }
 
@@ -119,11 +129,20 @@
         result: RequestResult,
     ) {
         let now = self.shared.now();
-        let RequestResult::Ended(result) = result else {
-            self.shared.state().request_abandoned(now, request);
-            self.clients.leave(client);
-            return;
+        let result = match result {
+            RequestResult::Ended(result) => result,
+            RequestResult::ClientGone => {
+                self.shared.state().request_abandoned(now, request);
+                self.clients.leave(client);
+                return;
+            }
+            RequestResult::DeadlinePassed => {
+                self.overdue.insert(request);
+                self.clients.leave(client);
+                return;
+            }
         };
+        self.overdue.remove(&request);
         self.record_end(now, request, &result);
         let reply = result.unwrap_or(Reply::Failed);
         if let Some(retry_at) = self.clients.notified(now, client, reply) {
--- a/crates/testbed/src/sockets/driver/mod.rs
+++ b/crates/testbed/src/sockets/driver/mod.rs
@@ -13,6 +13,7 @@
 mod setup;
 mod system_faults;
 
+use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -71,10 +72,12 @@
 /// How a client's request has ended.
 #[derive(Debug, Clone, Copy)]
 enum RequestResult {
-    /// With a reply or without, before the client went away.
+    /// With a reply or without, before the client went away or after its deadline.
     Ended(Result<Reply, RequestError>),
-    /// The client did not wait any longer.
+    /// The client left before its deadline and closed its connection.
     ClientGone,
+    /// The client's deadline has passed. Its connection stays: it is still owed the answer.
+    DeadlinePassed,
 }
 
 /// Random streams of the driver. Each has a seed of its own, so that one does not shift the draws of another.
@@ -116,6 +119,8 @@
     /// Requests, waits for nodes to start, and peers that send malformed bytes.
     tasks: JoinSet<()>,
     last_request: RequestId,
+    /// Requests whose deadlines have passed without an answer so far.
+    overdue: BTreeSet<RequestId>,
     message_sender: mpsc::Sender<Message>,
     messages: mpsc::Receiver<Message>,
     random: RandomStreams,
@@ -145,6 +150,9 @@
             }
             self.handle_cluster_events();
         }
+        // What nodes answer while they are stopped is read by nobody.
+        let now = self.shared.now();
+        self.shared.state().end(now);
     }
 
     /// When the last client may arrive.
@@ -164,7 +172,8 @@
         let arrivals_to_come = self
             .schedule
             .contains(|scheduled| matches!(scheduled, Scheduled::NextArrival));
-        !arrivals_to_come && now > self.last_arrival() && self.clients.open_count() == 0
+        let all_answered = self.clients.open_count() == 0 && self.overdue.is_empty();
+        !arrivals_to_come && now > self.last_arrival() && all_answered
     }
 
     fn schedule_at(&mut self, at: Micros, scheduled: Scheduled) {
@@ -235,10 +244,9 @@
 
     /// The report of a run that has ended.
     pub(super) fn into_report(mut self, seed: u64) -> Report {
-        let now = self.shared.now();
         let injected_faults = self.injected_faults();
         let mut state = self.shared.state();
-        let mut violations = report::violations(state.end(now), self.begin);
+        let mut violations = report::violations(state.invariants(), self.begin);
         let violation_count = violations.count + self.failures.len();
         violations.shown.append(&mut self.failures);
         let results = self.clients.results();
--- a/crates/testbed/src/sockets/driver/nodes.rs
+++ b/crates/testbed/src/sockets/driver/nodes.rs
@@ -115,9 +115,11 @@
 
     /// Shuts all nodes down as a platform does: they are asked first, and killed if they do not end.
     pub(in crate::sockets) async fn stop_nodes(&mut self) {
-        for process in &mut self.nodes {
+        let now = self.shared.now();
+        for (node, process) in (0..).zip(&mut self.nodes) {
             process.connections().close_idle();
             // One that is paused could not react.
+            self.shared.state().node_resumed(now, node);
             process.signal(Signal::SIGCONT);
             process.terminate();
         }
--- a/crates/testbed/src/sockets/driver/setup.rs
+++ b/crates/testbed/src/sockets/driver/setup.rs
@@ -1,5 +1,6 @@
 //! The start of a run: services, links and nodes come up, the cache servers are filled, and the schedule is begun.
 
+use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::Arc;
@@ -74,6 +75,7 @@
             discovery_listeners: Vec::new(),
             tasks: JoinSet::new(),
             last_request: 0,
+            overdue: BTreeSet::new(),
             message_sender,
             messages,
             random,
