--- a/crates/testbed/src/sockets/client_connections.rs
+++ b/crates/testbed/src/sockets/client_connections.rs
@@ -23,6 +23,9 @@
     /// No connection came up: the node never had the request.
     #[error("the node accepts no connection")]
     NotConnected,
+    /// An idle connection ended before a reply, and no new one came up: the node may have had the request.
+    #[error("an idle connection ended before a reply, and the node accepts no other")]
+    NotTaken,
     /// The connection ended, or brought what is no reply.
     #[error("the connection ended before a valid reply")]
     ConnectionLost,
@@ -58,6 +61,10 @@
     /// Where the node can't be reached, ends the connection, or sends what is no reply.
     pub async fn request(&self, command: &[u8], value: &[u8]) -> Result<Reply, RequestError> {
         let idle = lock(&self.idle).pop();
+        let unconnected = match idle {
+            Some(_) => RequestError::NotTaken,
+            None => RequestError::NotConnected,
+        };
         if let Some(mut stream) = idle {
             match exchange(&mut stream, command).await {
                 Ok(frame) => return self.finish(stream, &frame, value),
@@ -67,7 +74,7 @@
         }
         let mut stream = TcpStream::connect(self.address)
             .await
-            .map_err(|_| RequestError::NotConnected)?;
+            .map_err(|_| unconnected)?;
         // Only a matter of speed: the connection works without.
         let _ = stream.set_nodelay(true);
         let frame = exchange(&mut stream, command)
--- a/crates/testbed/src/sockets/cluster/requests.rs
+++ b/crates/testbed/src/sockets/cluster/requests.rs
@@ -38,6 +38,8 @@
     /// Cache servers that lacked the key.
     pub(super) missed_at: Vec<ServerNumber>,
     pub(super) ended_at: Option<Micros>,
+    /// Whether it was open when its node was killed in a shutdown.
+    unanswered_at_kill: bool,
 }
 
 impl OpenRequest {
@@ -75,6 +77,7 @@
             attempts_in_flight: 0,
             missed_at: Vec::new(),
             ended_at: None,
+            unanswered_at_kill: false,
         };
         self.requests.insert(request, open);
     }
@@ -126,6 +129,26 @@
         self.node_exited(now, node);
     }
 
+    /// A node that was told to shut down was killed: what it had not answered is lost, unless its answer was on its way.
+    pub fn node_killed_in_shutdown(&mut self, now: Micros, node: NodeId) {
+        self.node_resumed(now, node);
+        for open in self.requests.values_mut() {
+            open.unanswered_at_kill |= open.node == node && open.ended_at.is_none();
+        }
+        self.node_exited(now, node);
+    }
+
+    /// A connection that a request had used ended without a byte of an answer, and its node accepts no other. It may
+    /// have closed an idle connection just then, but not if the connection lasted until it was killed.
+    pub fn request_not_taken(&mut self, now: Micros, request: RequestId) {
+        let open = self.requests.get(&request);
+        if open.is_some_and(|open| open.unanswered_at_kill) {
+            self.request_broken_off(now, request);
+        } else {
+            self.request_abandoned(now, request);
+        }
+    }
+
     /// A node's process has ended by itself: what it owes stays owed.
     pub fn node_exited(&mut self, now: Micros, node: NodeId) {
         self.discovery.disconnect(node);
--- a/crates/testbed/src/sockets/driver/clients.rs
+++ b/crates/testbed/src/sockets/driver/clients.rs
@@ -158,6 +158,7 @@
                 state.request_answered(now, request, rejected);
             }
             Err(RequestError::NotConnected) => state.request_abandoned(now, request),
+            Err(RequestError::NotTaken) => state.request_not_taken(now, request),
             Err(RequestError::ConnectionLost) => state.request_broken_off(now, request),
         }
     }
--- a/crates/testbed/src/sockets/driver/nodes.rs
+++ b/crates/testbed/src/sockets/driver/nodes.rs
@@ -80,6 +80,25 @@
         let leaves_at = now + DEREGISTRATION_DELAY.as_micros() as Micros;
         let leaving = self.present_incarnation(node);
         self.schedule_at(leaves_at, Scheduled::RemoveFromRotation(leaving));
+        let killed_at = now + deployment::earliest_kill_after_terminate(self.scenario);
+        self.schedule_at(killed_at, Scheduled::KillTerminated(leaving));
+    }
+
+    /// Kills a node that has not ended in the time that the platform gives it. Unlike at other kills, the requests that
+    /// it has not answered are lost: it was told early enough to answer them.
+    pub(super) async fn kill_terminated(&mut self, now: Micros, terminated: NodeIncarnation) {
+        self.handle_node_exits(now);
+        let node = terminated.node;
+        if !self.is_present(terminated) || !self.nodes[node as usize].has_process() {
+            return;
+        }
+        self.nodes[node as usize].kill().await;
+        let killed_at = self.shared.now();
+        self.shared.state().node_killed_in_shutdown(killed_at, node);
+        self.load_balancer.remove(node);
+        self.progress_messages
+            .push(format!("node {node} was killed in its shutdown"));
+        self.schedule_at(killed_at, Scheduled::StartNode(node));
     }
 
     pub(super) fn remove_from_rotation(&mut self, leaving: NodeIncarnation) {
--- a/crates/testbed/src/sockets/driver/schedule.rs
+++ b/crates/testbed/src/sockets/driver/schedule.rs
@@ -31,6 +31,8 @@
     ResumeNode(u32),
     /// A node is asked to shut down.
     TerminateNode(u32),
+    /// A node that was asked to shut down is killed, unless it has ended.
+    KillTerminated(NodeIncarnation),
     /// A node that shuts down gets no new requests.
     RemoveFromRotation(NodeIncarnation),
     /// It is noticed that a node was killed.
@@ -93,6 +95,7 @@
             Scheduled::StartNode(node) => self.start_node_again(node),
             Scheduled::ResumeNode(node) => self.resume_node(now, node),
             Scheduled::TerminateNode(node) => self.terminate_node(now, node),
+            Scheduled::KillTerminated(terminated) => self.kill_terminated(now, terminated).await,
             Scheduled::RemoveFromRotation(leaving) => self.remove_from_rotation(leaving),
             Scheduled::NodeDeathNoticed(killed) => self.notice_node_death(killed),
             Scheduled::HealZone(zone) => self.heal_zone(now, zone),
--- a/crates/testbed/tests/sockets_answers.rs
+++ b/crates/testbed/tests/sockets_answers.rs
@@ -85,3 +85,45 @@
     let timed_out: u64 = report.windows.iter().map(|window| window.timed_out).sum();
     assert!(timed_out > 20, "{report}");
 }
+
+#[test]
+fn a_node_that_outlasts_its_shutdown_is_killed_and_loses_what_it_had_open() {
+    let faults = vec![
+        FaultEvent::RestartNodes {
+            at: millis(1_000),
+            part: 1.0,
+            over: millis(1),
+        },
+        // It neither answers nor ends, and its clients go on sending on the connections that they have.
+        FaultEvent::PauseNodes {
+            at: millis(1_000),
+            part: 1.0,
+            lasts: millis(60_000),
+        },
+    ];
+    let (report, messages) = run_to_end(&one_node(faults));
+    let killed = "node 0 was killed in its shutdown";
+    let killed = messages.iter().position(|message| message == killed);
+    let back = messages
+        .iter()
+        .position(|message| message == "node 0 is back");
+    assert!(killed.is_some() && killed < back, "{messages:?}");
+    assert!(violates(&report, "lost: "), "{report}");
+}
+
+#[test]
+fn a_node_that_ends_in_time_is_not_killed_and_loses_nothing() {
+    let restart = FaultEvent::RestartNodes {
+        at: millis(1_000),
+        part: 1.0,
+        over: millis(1),
+    };
+    let mut scenario = one_node(vec![restart]);
+    for class in &mut scenario.classes {
+        class.deadline = millis(2_000);
+    }
+    let (report, messages) = run_to_end(&scenario);
+    assert!(report.invariants_hold(), "{report}{messages:?}");
+    let killed = |message: &String| message.contains("was killed");
+    assert!(!messages.iter().any(killed), "{messages:?}");
+}
