--- a/crates/testbed/src/sockets/client_connections.rs
+++ b/crates/testbed/src/sockets/client_connections.rs
@@ -53,20 +53,25 @@
     }
 
     /// Sends a command and reads its reply, which counts as served only with the value that the servers hold.
+    /// `command` is encoded when it is written, as it states the time that is left.
     ///
     /// The node may have closed an idle connection between two requests. Where one ends without a byte of a reply, the
     /// command is sent once more on a new connection.
     ///
     /// # Errors
     /// Where the node can't be reached, ends the connection, or sends what is no reply.
-    pub async fn request(&self, command: &[u8], value: &[u8]) -> Result<Reply, RequestError> {
+    pub async fn request(
+        &self,
+        command: impl Fn() -> BytesMut,
+        value: &[u8],
+    ) -> Result<Reply, RequestError> {
         let idle = lock(&self.idle).pop();
         let unconnected = match idle {
             Some(_) => RequestError::NotTaken,
             None => RequestError::NotConnected,
         };
         if let Some(mut stream) = idle {
-            match exchange(&mut stream, command).await {
+            match exchange(&mut stream, &command()).await {
                 Ok(frame) => return self.finish(stream, &frame, value),
                 Err(ExchangeError::BeforeReply) => {}
                 Err(ExchangeError::WithinReply) => return Err(RequestError::ConnectionLost),
@@ -77,7 +82,7 @@
             .map_err(|_| unconnected)?;
         // Only a matter of speed: the connection works without.
         let _ = stream.set_nodelay(true);
-        let frame = exchange(&mut stream, command)
+        let frame = exchange(&mut stream, &command())
             .await
             .map_err(|_| RequestError::ConnectionLost)?;
         self.finish(stream, &frame, value)
--- a/crates/testbed/src/sockets/driver/clients.rs
+++ b/crates/testbed/src/sockets/driver/clients.rs
@@ -26,6 +26,35 @@
 /// A peer that sends malformed bytes stays this long, unless the node closes the connection earlier.
 const MALFORMED_PEER_STAYS: Duration = Duration::from_secs(5);
 
+/// A client's request as a node gets it.
+struct RequestCommand {
+    class: String,
+    write: bool,
+    key: String,
+    request: String,
+    deadline: Micros,
+    /// The same for all attempts of a client.
+    idempotency_key: Option<String>,
+}
+
+impl RequestCommand {
+    /// `OBJ.GET key request fields` or `OBJ.SET key request fields value`, to be written now; the fields are class,
+    /// remaining deadline in milliseconds, and the idempotency key.
+    fn encode(&self, now: Micros, value: &[u8]) -> BytesMut {
+        let remaining_ms = self.deadline.saturating_sub(now).div_ceil(1_000);
+        let mut fields = format!("c={},d={remaining_ms}", self.class);
+        if let Some(idempotency_key) = &self.idempotency_key {
+            fields.push_str(&format!(",k={idempotency_key}"));
+        }
+        let (key, request) = (self.key.as_bytes(), self.request.as_bytes());
+        if self.write {
+            encode_command(&[b"OBJ.SET", key, request, fields.as_bytes(), value])
+        } else {
+            encode_command(&[b"OBJ.GET", key, request, fields.as_bytes()])
+        }
+    }
+}
+
 impl Driver<'_> {
     /// A client arrives, and the arrival of the next one is drawn.
     pub(super) fn client_arrives(&mut self, at: Micros) {
@@ -51,7 +80,7 @@
         self.shared
             .state()
             .begin_request(now, request, node, &client);
-        let command = self.request_command(now, request, client_id, &client);
+        let command = self.request_command(request, client_id, &client);
         let leaves_at = self.shared.instant(client.leaves_at);
         let closes = client.leaves_at < client.deadline;
         let connections = self.nodes[node as usize].connections().clone();
@@ -67,7 +96,8 @@
                 // Without a driver nobody waits for it any more.
                 let _ = messages.send(message).await;
             };
-            let reply = connections.request(&command, shared.value());
+            let encode = || command.encode(shared.now(), shared.value());
+            let reply = connections.request(encode, shared.value());
             tokio::pin!(reply);
             let result = match tokio::time::timeout_at(leaves_at, &mut reply).await {
                 Ok(result) => RequestResult::Ended(result),
@@ -95,29 +125,21 @@
         });
     }
 
-    /// `OBJ.GET key request fields` or `OBJ.SET key request fields value`; the fields are class, remaining deadline in
-    /// milliseconds, and the idempotency key, which is the same for all attempts of a client.
     fn request_command(
         &self,
-        now: Micros,
         request: RequestId,
         client_id: ClientId,
         client: &Client,
-    ) -> BytesMut {
-        let remaining_ms = client.deadline.saturating_sub(now).div_ceil(1_000);
+    ) -> RequestCommand {
         let class = &self.scenario.classes[client.class];
-        let mut fields = format!("c={},d={remaining_ms}", class.name);
-        if matches!(class.idempotency, Idempotency::Deduplicated) {
-            fields.push_str(&format!(",k={client_id:016x}"));
-        }
-        let key = format!("{:016x}", client.key);
-        let request = format!("{request:016x}");
-        let (key, request, fields) = (key.as_bytes(), request.as_bytes(), fields.as_bytes());
-        if class.write {
-            let value = self.shared.value();
-            encode_command(&[b"OBJ.SET", key, request, fields, value])
-        } else {
-            encode_command(&[b"OBJ.GET", key, request, fields])
+        let deduplicated = matches!(class.idempotency, Idempotency::Deduplicated);
+        RequestCommand {
+            class: class.name.clone(),
+            write: class.write,
+            key: format!("{:016x}", client.key),
+            request: format!("{request:016x}"),
+            deadline: client.deadline,
+            idempotency_key: deduplicated.then(|| format!("{client_id:016x}")),
         }
     }
 
