--- a/crates/testbed/src/sockets/driver/nodes.rs
+++ b/crates/testbed/src/sockets/driver/nodes.rs
@@ -80,6 +80,25 @@
         let leaves_at = now + DEREGISTRATION_DELAY.as_micros() as Micros;
         let leaving = self.present_incarnation(node);
         self.schedule_at(leaves_at, Scheduled::RemoveFromRotation(leaving));
+        let killed_at = now + deployment::earliest_kill_after_terminate(self.scenario);
+        self.schedule_at(killed_at, Scheduled::KillTerminated(leaving));
+    }
+
+    /// Kills a node that has not ended in the time that the platform gives it. Unlike at other kills, the requests that
+    /// it has not answered are lost: it was told early enough to answer them.
+    pub(super) async fn kill_terminated(&mut self, now: Micros, terminated: NodeIncarnation) {
+        self.handle_node_exits(now);
+        let node = terminated.node;
+        if !self.is_present(terminated) || !self.nodes[node as usize].has_process() {
+            return;
+        }
+        self.nodes[node as usize].kill().await;
+        let killed_at = self.shared.now();
+        self.shared.state().node_killed_in_shutdown(killed_at, node);
+        self.load_balancer.remove(node);
+        self.progress_messages
+            .push(format!("node {node} was killed in its shutdown"));
+        self.schedule_at(killed_at, Scheduled::StartNode(node));
     }
 
     pub(super) fn remove_from_rotation(&mut self, leaving: NodeIncarnation) {
@@ -115,9 +134,11 @@
 
     /// Shuts all nodes down as a platform does: they are asked first, and killed if they do not end.
     pub(in crate::sockets) async fn stop_nodes(&mut self) {
-        for process in &mut self.nodes {
+        let now = self.shared.now();
+        for (node, process) in (0..).zip(&mut self.nodes) {
             process.connections().close_idle();
             // One that is paused could not react.
+            self.shared.state().node_resumed(now, node);
             process.signal(Signal::SIGCONT);
             process.terminate();
         }
--- a/crates/testbed/src/sockets/driver/setup.rs
+++ b/crates/testbed/src/sockets/driver/setup.rs
@@ -1,5 +1,6 @@
 //! The start of a run: services, links and nodes come up, the cache servers are filled, and the schedule is begun.
 
+use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::Arc;
@@ -19,7 +20,7 @@
 use crate::sockets::loopback::{LoopbackBlock, listen, loopback_address};
 use crate::sockets::router_process::RouterProcess;
 use crate::sockets::services::{discovery, origin};
-use crate::sockets::shared::{SharedCluster, run_due_work};
+use crate::sockets::shared::{SharedCluster, run_due_work, send_heartbeats};
 use crate::sockets::{Options, SocketError};
 use crate::{deployment, micros};
 
@@ -56,6 +57,7 @@
         let shared = Arc::new(SharedCluster::new(scenario, seed, origin_address));
         let mut services = JoinSet::new();
         services.spawn(run_due_work(shared.clone()));
+        services.spawn(send_heartbeats(shared.clone()));
         let serve_origin = origin::serve(shared.clone(), origin_listener);
         services.spawn(async move { drop(serve_origin.await) });
         let begin = shared.now();
@@ -73,6 +75,7 @@
             discovery_listeners: Vec::new(),
             tasks: JoinSet::new(),
             last_request: 0,
+            overdue: BTreeSet::new(),
             message_sender,
             messages,
             random,
