--- a/crates/testbed/tests/clock_faults.rs
+++ b/crates/testbed/tests/clock_faults.rs
@@ -7,14 +7,17 @@
     reason = "test code"
 )]
 
+mod socket_run;
+
 use std::path::PathBuf;
 use std::time::Duration;
 
 use router_config::Span;
 use testbed::scenario::FaultEvent;
-use testbed::sockets::{Options, run};
 use testbed::virtual_time::{self, Defect, NodeOptions};
-use testbed::{Report, Scenario, program};
+use testbed::{Report, Scenario};
+
+use socket_run::run_scenario;
 
 /// All scenarios with this load and these restarts.
 const SCENARIOS: [&str; 7] = [
@@ -40,17 +43,8 @@
         class.deadline = Span(Duration::from_secs(8));
     }
     let folder = tempfile::tempdir().unwrap();
-    let program = program::find(None).unwrap();
-    let options = Options {
-        program: &program,
-        folder: folder.path(),
-    };
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .unwrap();
-    let ended = run(&scenario, seed, &options, std::future::pending(), |_| ());
-    runtime.block_on(ended).unwrap()
+    let never = std::future::pending();
+    run_scenario(&scenario, seed, folder.path(), never, |_| ()).unwrap()
 }
 
 /// Attempts at cache servers that were not there at the beginning.
--- /dev/null
+++ b/crates/testbed/tests/socket_run/mod.rs
@@ -0,0 +1,26 @@
+//! A run of a scenario on sockets, with the nodes of this build, as several tests need it.
+
+use std::path::Path;
+
+use testbed::sockets::{Options, Progress, SocketError, run};
+use testbed::{Report, Scenario, program};
+
+/// Runs a scenario until its end, or until `stop` is ready. The nodes' configurations and logs are in `folder`.
+pub fn run_scenario(
+    scenario: &Scenario,
+    seed: u64,
+    folder: &Path,
+    stop: impl Future<Output = ()>,
+    progress: impl FnMut(&Progress),
+) -> Result<Report, SocketError> {
+    let program = program::find(None).unwrap();
+    let options = Options {
+        program: &program,
+        folder,
+    };
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
+    runtime.block_on(run(scenario, seed, &options, stop, progress))
+}
--- a/crates/testbed/tests/sockets.rs
+++ b/crates/testbed/tests/sockets.rs
@@ -7,6 +7,8 @@
     reason = "test code"
 )]
 
+mod socket_run;
+
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -14,9 +16,11 @@
 use router_config::Span;
 use testbed::report::Counts;
 use testbed::scenario::{FaultEvent, Idempotency};
-use testbed::sockets::{Options, Progress, SocketError, run};
+use testbed::sockets::{Progress, SocketError};
 use testbed::{Report, Scenario, program};
 
+use socket_run::run_scenario;
+
 const SEED: u64 = 3;
 
 fn millis(millis: u64) -> Span {
@@ -68,16 +72,7 @@
     progress: impl FnMut(&Progress),
 ) -> EndedRun {
     let folder = tempfile::tempdir().unwrap();
-    let program = program::find(None).unwrap();
-    let options = Options {
-        program: &program,
-        folder: folder.path(),
-    };
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .unwrap();
-    let result = runtime.block_on(run(scenario, SEED, &options, stop, progress));
+    let result = run_scenario(scenario, SEED, folder.path(), stop, progress);
     EndedRun { folder, result }
 }
 
--- a/crates/testbed/tests/sockets_answers.rs
+++ b/crates/testbed/tests/sockets_answers.rs
@@ -6,13 +6,16 @@
     reason = "test code"
 )]
 
+mod socket_run;
+
 use std::path::PathBuf;
 use std::time::Duration;
 
 use router_config::Span;
 use testbed::scenario::FaultEvent;
-use testbed::sockets::{Options, run};
-use testbed::{Report, Scenario, program};
+use testbed::{Report, Scenario};
+
+use socket_run::run_scenario;
 
 fn millis(millis: u64) -> Span {
     Span(Duration::from_millis(millis))
@@ -40,19 +43,11 @@
 /// Runs a scenario to its end, with what its progress said.
 fn run_to_end(scenario: &Scenario) -> (Report, Vec<String>) {
     let folder = tempfile::tempdir().unwrap();
-    let program = program::find(None).unwrap();
-    let options = Options {
-        program: &program,
-        folder: folder.path(),
-    };
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .unwrap();
     let mut messages = Vec::new();
-    let report = runtime.block_on(run(scenario, 3, &options, std::future::pending(), |now| {
+    let never = std::future::pending();
+    let report = run_scenario(scenario, 3, folder.path(), never, |now| {
         messages.extend(now.messages.clone());
-    }));
+    });
     (report.unwrap(), messages)
 }
 
--- a/crates/testbed/tests/system_call_faults.rs
+++ b/crates/testbed/tests/system_call_faults.rs
@@ -7,6 +7,8 @@
     reason = "test code"
 )]
 
+mod socket_run;
+
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::os::unix::net::UnixStream;
@@ -20,9 +22,11 @@
 use router_config::Span;
 use testbed::fault_matrix::FaultKind;
 use testbed::report::Counts;
-use testbed::sockets::{Options, SocketError, run};
+use testbed::sockets::SocketError;
 use testbed::{Report, Scenario, program};
 
+use socket_run::run_scenario;
+
 /// Tells this program that it is the child of a test, and what it is to do.
 const CHILD_VARIABLE: &str = "SYSTEM_CALL_FAULTS_CHILD";
 /// Calls that a child makes.
@@ -425,22 +429,13 @@
 
 fn play(scenario: &Scenario, seed: u64) -> Result<Report, SocketError> {
     let folder = tempfile::tempdir().unwrap();
-    let program = program::find(None).unwrap();
-    let options = Options {
-        program: &program,
-        folder: folder.path(),
-    };
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .unwrap();
-    runtime.block_on(run(
+    run_scenario(
         scenario,
         seed,
-        &options,
+        folder.path(),
         std::future::pending(),
         |_| (),
-    ))
+    )
 }
 
 fn sum(report: &Report, count: impl Fn(&Counts) -> u64) -> u64 {
