--- a/crates/testbed/src/baseline/node_keeper.rs
+++ b/crates/testbed/src/baseline/node_keeper.rs
@@ -12,7 +12,7 @@
 
 use super::scenario::scenario;
 use crate::sockets::SocketError;
-use crate::sockets::loopback::{LoopbackBlock, listen, loopback_address};
+use crate::sockets::loopback::{LoopbackBlock, listen};
 use crate::sockets::router_process::RouterProcess;
 use crate::sockets::services::discovery;
 use crate::sockets::shared::{SharedCluster, run_due_work};
@@ -32,6 +32,14 @@
 /// The process of a node that has started, or why it did not.
 pub(super) type Started = Result<NodeProcess, SocketError>;
 
+/// A node that runs, with what it needs. The service ends when its tasks are dropped; its addresses are free for other
+/// runs after that.
+struct RunningNode {
+    node: RouterProcess,
+    _service: JoinSet<()>,
+    _addresses: LoopbackBlock,
+}
+
 /// Starts a node with its endpoint list service, and keeps both until it is told to stop.
 pub(super) struct NodeKeeper {
     pub(super) program: PathBuf,
@@ -56,8 +64,7 @@
     }
 
     async fn keep(self, started: &Sender<Started>, stopped: oneshot::Receiver<()>) {
-        // The service ends when its tasks are dropped.
-        let (mut node, _service) = match self.start().await {
+        let mut running = match self.start().await {
             Ok(running) => running,
             Err(e) => {
                 let _ = started.send(Err(e));
@@ -65,24 +72,25 @@
             }
         };
         let process = NodeProcess {
-            address: node.address(),
-            pid: node.pid().unwrap_or(0),
+            address: running.node.address(),
+            pid: running.node.pid().unwrap_or(0),
         };
         // Nobody may wait for it any more; then `stopped` has ended as well.
         let _ = started.send(Ok(process));
         let _ = stopped.await;
         // It is told to end before it is killed, so that a profiler that it runs under can write its results.
-        node.signal(Signal::SIGTERM);
-        let _ = tokio::time::timeout(SHUTDOWN_TIMEOUT, node.wait()).await;
-        node.kill().await;
+        running.node.signal(Signal::SIGTERM);
+        let _ = tokio::time::timeout(SHUTDOWN_TIMEOUT, running.node.wait()).await;
+        running.node.kill().await;
     }
 
     /// Starts the endpoint list service and the node.
-    async fn start(self) -> Result<(RouterProcess, JoinSet<()>), SocketError> {
+    async fn start(self) -> Result<RunningNode, SocketError> {
         let system_error = |e| SocketError::io("cannot start a node", e);
         let scenario = scenario(self.value_bytes);
+        let mut addresses = LoopbackBlock::reserve().map_err(system_error)?;
         let listener =
-            listen(loopback_address(LoopbackBlock::Discovery, 0)).map_err(system_error)?;
+            listen(addresses.next_address().map_err(system_error)?).map_err(system_error)?;
         let list = listener.local_addr().map_err(system_error)?;
         // The origin needs an address, and is never called: nothing misses.
         let origin = self.servers[0];
@@ -94,13 +102,19 @@
         service.spawn(run_due_work(shared.clone()));
         let serve = discovery::serve(shared.clone(), listener, 0, 0);
         service.spawn(async move { drop(serve.await) });
-        let mut node = RouterProcess::new(0, list, &self.folder).map_err(system_error)?;
+        let node_address = addresses.next_address().map_err(system_error)?;
+        let mut node =
+            RouterProcess::new(0, node_address, list, &self.folder).map_err(system_error)?;
         let known = shared.begin_node(0, 0);
         node.start(&self.program, &scenario, &known, 1)
             .map_err(system_error)?;
         if !node.ready().await {
             return Err(node.startup_error());
         }
-        Ok((node, service))
+        Ok(RunningNode {
+            node,
+            _service: service,
+            _addresses: addresses,
+        })
     }
 }
--- a/crates/testbed/src/sockets/driver/mod.rs
+++ b/crates/testbed/src/sockets/driver/mod.rs
@@ -24,6 +24,7 @@
 use super::client_connections::RequestError;
 use super::cluster::{ClusterEvents, CountedKind, RequestId, SOCKETS_STREAM_OFFSET, server_name};
 use super::link::Link;
+use super::loopback::LoopbackBlock;
 use super::router_process::RouterProcess;
 use super::shared::SharedCluster;
 use super::{Options, Progress};
@@ -129,6 +130,8 @@
     progress_messages: Vec<String>,
     /// What went wrong beside the protocol's invariants, in words.
     failures: Vec<String>,
+    /// The addresses of the run. Dropped last, after all that listens at them.
+    addresses: LoopbackBlock,
 }
 
 impl Driver<'_> {
--- a/crates/testbed/src/sockets/driver/servers.rs
+++ b/crates/testbed/src/sockets/driver/servers.rs
@@ -11,13 +11,13 @@
 use crate::micros;
 use crate::sockets::cluster::ServerNumber;
 use crate::sockets::link::{DirectionState, Link, LinkState};
-use crate::sockets::loopback::{LoopbackBlock, listen, loopback_address};
+use crate::sockets::loopback::listen;
 use crate::sockets::services::cache_server;
 
 impl Driver<'_> {
     /// Opens the listener of the next cache server, by number, and a link to it from each zone.
     pub(super) fn open_server(&mut self, server: ServerNumber) -> std::io::Result<()> {
-        let listener = listen(loopback_address(LoopbackBlock::CacheServer, server))?;
+        let listener = listen(self.addresses.next_address()?)?;
         let address = listener.local_addr()?;
         let serve = cache_server::serve(self.shared.clone(), listener, server);
         self.services.spawn(serve);
@@ -37,7 +37,7 @@
                 backward: direction,
                 resets: 0,
             };
-            let entrance = loopback_address(LoopbackBlock::LinkFrom(zone), server);
+            let entrance = self.addresses.next_address()?;
             let link = Link::open(entrance, address, state)?;
             self.shared.add_server_address(zone, link.address());
             self.links[usize::from(zone)].push(link);
--- a/crates/testbed/src/sockets/driver/setup.rs
+++ b/crates/testbed/src/sockets/driver/setup.rs
@@ -17,7 +17,7 @@
 use crate::clients::{Clients, Stream};
 use crate::event_queue::EventQueue;
 use crate::scenario::Scenario;
-use crate::sockets::loopback::{LoopbackBlock, listen, loopback_address};
+use crate::sockets::loopback::{LoopbackBlock, listen};
 use crate::sockets::router_process::RouterProcess;
 use crate::sockets::services::{discovery, origin};
 use crate::sockets::shared::{SharedCluster, run_due_work, send_heartbeats};
@@ -52,7 +52,8 @@
         seed: u64,
         options: &'a Options<'a>,
     ) -> std::io::Result<Driver<'a>> {
-        let origin_listener = listen(loopback_address(LoopbackBlock::Origin, 0))?;
+        let mut addresses = LoopbackBlock::reserve()?;
+        let origin_listener = listen(addresses.next_address()?)?;
         let origin_address = origin_listener.local_addr()?;
         let shared = Arc::new(SharedCluster::new(scenario, seed, origin_address));
         let mut services = JoinSet::new();
@@ -82,6 +83,7 @@
             system_faults,
             progress_messages: Vec::new(),
             failures: Vec::new(),
+            addresses,
             shared,
             scenario,
             options,
@@ -94,7 +96,12 @@
     fn open_nodes(&mut self) -> std::io::Result<()> {
         for node in 0..self.scenario.nodes {
             let discovery = self.open_discovery_listener(node)?;
-            let process = RouterProcess::new(node, discovery, self.options.folder)?;
+            let process = RouterProcess::new(
+                node,
+                self.addresses.next_address()?,
+                discovery,
+                self.options.folder,
+            )?;
             self.nodes.push(process);
         }
         Ok(())
@@ -110,7 +117,7 @@
 
     /// Opens a listener of the discovery service for a node, and returns its address.
     pub(super) fn open_discovery_listener(&mut self, node: u32) -> std::io::Result<SocketAddr> {
-        let listener = listen(loopback_address(LoopbackBlock::Discovery, node))?;
+        let listener = listen(self.addresses.next_address()?)?;
         let address = listener.local_addr()?;
         let zone = deployment::zone(self.scenario, node);
         let serve = discovery::serve(self.shared.clone(), listener, node, zone);
--- a/crates/testbed/src/sockets/loopback.rs
+++ b/crates/testbed/src/sockets/loopback.rs
@@ -1,49 +1,73 @@
-//! Addresses and listeners on 127.0.0.0/8. Each party of a run has an address of its own, so that the port it had is
-//! still free when it comes back after a fault.
+//! Addresses and listeners on 127.0.0.0/8. Each run has a block of addresses that no other run uses at the same time,
+//! and each party of a run has an address of its own. So a port that a party gives up, while its process starts or
+//! after a fault, is still free when the party binds it again.
 
+use std::io::{Error, ErrorKind};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-use cluster_model::network::Zone;
 use tokio::net::{TcpListener, TcpSocket};
 
 /// Connections that the system queues for a listener.
 const LISTEN_BACKLOG: u32 = 256;
-/// Hosts in one /24 network, without .0 and the last ones.
-const HOSTS_PER_NETWORK: u32 = 250;
+/// Addresses in the block of a run. A run has one for each party, and one for each link between a zone and a server.
+const BLOCK_SIZE: u32 = 1 << 17;
+/// Blocks that runs may have at once. Block 0 has 127.0.0.1, which other programs use, and block 127 ends with a
+/// broadcast address.
+const BLOCKS: std::ops::RangeInclusive<u32> = 1..=126;
+/// The port that a run listens on at the first address of its block for as long as it uses the block. The system
+/// does not choose it by itself, as its range of such ports begins higher.
+const RESERVATION_PORT: u16 = 20_201;
 
-/// A block of addresses, 127.x.0.0/16, for all parties of one role.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LoopbackBlock {
-    /// Emulated cache servers.
-    CacheServer,
-    /// Nodes, which are `cache-router` processes.
-    Node,
-    /// The discovery service's listeners, one for each node.
-    Discovery,
-    /// The origin.
-    Origin,
-    /// Links from the nodes of a zone to cache servers.
-    LinkFrom(Zone),
+/// The addresses of one run. The block is free again when this is dropped or its process ends.
+#[derive(Debug)]
+pub struct LoopbackBlock {
+    first: Ipv4Addr,
+    used: u32,
+    _reservation: std::net::TcpListener,
 }
 
 impl LoopbackBlock {
-    fn second_octet(self) -> u8 {
-        match self {
-            LoopbackBlock::CacheServer => 1,
-            LoopbackBlock::Node => 2,
-            LoopbackBlock::Discovery => 3,
-            LoopbackBlock::Origin => 4,
-            LoopbackBlock::LinkFrom(zone) => 10 + zone,
+    /// Reserves a block that no other run on this machine uses.
+    ///
+    /// # Errors
+    /// Where all blocks are in use, or the system refuses a socket.
+    pub fn reserve() -> std::io::Result<LoopbackBlock> {
+        for block in BLOCKS {
+            let first =
+                Ipv4Addr::from_bits(Ipv4Addr::new(127, 0, 0, 0).to_bits() + block * BLOCK_SIZE);
+            match std::net::TcpListener::bind((first, RESERVATION_PORT)) {
+                Ok(reservation) => {
+                    return Ok(LoopbackBlock {
+                        first,
+                        used: 1,
+                        _reservation: reservation,
+                    });
+                }
+                Err(error) if error.kind() == ErrorKind::AddrInUse => {}
+                Err(error) => return Err(error),
+            }
         }
+        Err(Error::new(
+            ErrorKind::AddrInUse,
+            "all blocks of loopback addresses are in use by other runs",
+        ))
     }
-}
 
-/// The address of one party, with port 0: the system chooses a free port.
-pub fn loopback_address(block: LoopbackBlock, number: u32) -> SocketAddr {
-    let network = (number / HOSTS_PER_NETWORK) as u8;
-    let host = (number % HOSTS_PER_NETWORK) as u8 + 1;
-    let ip = Ipv4Addr::new(127, block.second_octet(), network, host);
-    SocketAddr::new(IpAddr::V4(ip), 0)
+    /// The address of one more party, with port 0: the system chooses a free port.
+    ///
+    /// # Errors
+    /// Where all addresses of the block are used.
+    pub fn next_address(&mut self) -> std::io::Result<SocketAddr> {
+        if self.used == BLOCK_SIZE {
+            return Err(Error::new(
+                ErrorKind::AddrNotAvailable,
+                "the run has used all of its loopback addresses",
+            ));
+        }
+        let ip = Ipv4Addr::from_bits(self.first.to_bits() + self.used);
+        self.used += 1;
+        Ok(SocketAddr::new(IpAddr::V4(ip), 0))
+    }
 }
 
 /// Opens a listener whose address can be bound again at once after it was closed.
--- a/crates/testbed/src/sockets/router_process.rs
+++ b/crates/testbed/src/sockets/router_process.rs
@@ -19,7 +19,7 @@
 use super::SocketError;
 use super::client_connections::ConnectionPool;
 use super::fault_injection::FaultInjection;
-use super::loopback::{LoopbackBlock, listen, loopback_address};
+use super::loopback::listen;
 use crate::deployment;
 use crate::scenario::Scenario;
 
@@ -45,13 +45,19 @@
 }
 
 impl RouterProcess {
-    /// A node that does not run yet, with its files in `folder` and its discovery service at `discovery`.
+    /// A node that does not run yet, with its files in `folder` and its discovery service at `discovery`. Of `address`,
+    /// which no other party may use, it takes a free port.
     ///
     /// # Errors
     /// Where the system gives no port.
-    pub fn new(node: u32, discovery: SocketAddr, folder: &Path) -> std::io::Result<RouterProcess> {
+    pub fn new(
+        node: u32,
+        address: SocketAddr,
+        discovery: SocketAddr,
+        folder: &Path,
+    ) -> std::io::Result<RouterProcess> {
         // Closed at once: no other party binds to this address.
-        let address = listen(loopback_address(LoopbackBlock::Node, node))?.local_addr()?;
+        let address = listen(address)?.local_addr()?;
         Ok(RouterProcess {
             node,
             connections: Arc::new(ConnectionPool::new(address)),
