--- a/crates/routing-policy/src/policy.rs
+++ b/crates/routing-policy/src/policy.rs
@@ -1,9 +1,9 @@
-//! Every decision of a router: this file dispatches events, each module below owns one concern.
+//! The decisions of a router. This file dispatches events; each module below handles one concern.
 //!
-//! Ordinary path: a read goes to the first server in its key's order that is not over the load bound; after
-//! a miss the value is fetched from the origin, and a write goes straight there, both through the origin
-//! limiter, which defers a call by a random delay where it is at capacity. All else is a departure for a
-//! failure that the code names.
+//! Normal path: a read goes to the first server in its key's order that is below the load bound. After a miss,
+//! the value is fetched from the origin. A write goes to the origin directly. The origin limiter applies to
+//! both, and defers a call by a random delay when it is at capacity. All other code handles failure cases, each
+//! named where it is handled.
 
 mod admission;
 mod attempts;
@@ -23,13 +23,13 @@
 
 /// Reviews of the load within the longest latency objective.
 const REVIEWS_PER_OBJECTIVE: Micros = 8;
-/// Fraction of the counts before it that a review keeps.
-const REVIEW_KEEP: f64 = 0.85;
-/// Observations below which a review reduces the counts no further: fewer are no longer enough to judge by.
-const REVIEW_LEAST: f64 = 10.0;
+/// Factor by which a review decays earlier counts.
+const REVIEW_DECAY_FACTOR: f64 = 0.85;
+/// Counts with no more observations than this are not decayed further: fewer would not be enough to judge by.
+const MIN_REVIEWED_OBSERVATIONS: f64 = 10.0;
 
 impl Policy {
-    /// Takes one event at a clock value and adds the actions that it calls for.
+    /// Handles one event at a clock value and adds the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         std::mem::swap(&mut self.actions, actions);
@@ -45,7 +45,8 @@
             Event::EndpointList { update, endpoints } => self.on_endpoint_list(update, endpoints),
             Event::Request(request) => self.on_request(&request),
             Event::AttemptOutcome(outcome) => self.on_outcome(&outcome),
-            // A streamed answer belongs to the client from here on: nothing is owed, and no deadline runs.
+            // A streamed response goes directly to the client: from its start no answer is owed and no deadline
+            // applies.
             Event::ResponseStarted { request, .. } | Event::ClientGone(request) => {
                 self.requests.remove(&request);
             }
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Lets what was seen before count for less, and judges the load anew.
+    /// Decays earlier observations and reassesses the load.
     fn review(&mut self) {
         let period = self.objective / REVIEWS_PER_OBJECTIVE;
         let period = period.max(self.settings.tick).max(1);
--- a/crates/routing-policy/src/policy/attempts.rs
+++ b/crates/routing-policy/src/policy/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: sending, outcomes, retries on a budget, hedging, and idempotency.
+//! Attempts: sending, outcomes, the retry budget, hedging, and idempotency.
 
 use super::Policy;
 use crate::interface::{
@@ -7,34 +7,36 @@
 };
 use crate::state::{Attempt, AttemptId, CallKind, InFlightRequest, Server, Timer};
 
-/// Fraction of its latency objective after which an attempt is slow; after twice that it is nearly late.
+/// Fraction of its latency objective after which an attempt is slow. After twice that it is nearly late.
 const SLOW_FRACTION: f64 = 0.4;
-/// What each request adds to the budget for hedged requests and for retries of what may have run, in retries.
-pub(super) const RETRIES_PER_REQUEST: f64 = 0.05;
+/// Retries that each request adds to the budget for hedged requests and for retries of attempts that may have
+/// run.
+pub(super) const BUDGETED_RETRIES_PER_REQUEST: f64 = 0.05;
 /// The most retries that the budget holds.
-pub(super) const MOST_RETRIES: f64 = 5.0;
-/// What a hedged request, or a retry of what may still run, takes from the budget, in retries.
+pub(super) const MAX_BUDGETED_RETRIES: f64 = 5.0;
+/// Retries that the budget is charged for a hedged request, or for a retry of an attempt that may still be
+/// running.
 const RETRY_COST: f64 = 1.0;
-/// Ticks before the end of a deduplication window from which nothing is sent again: a timer may be a tick late, and the
-/// server's window may have begun a tick earlier.
-const WINDOW_MARGIN_TICKS: Micros = 2;
+/// Ticks before the end of a deduplication window from which nothing is sent again: a timer may be a tick late,
+/// and the server's window may have begun a tick earlier.
+const DEDUPLICATION_MARGIN_TICKS: Micros = 2;
 /// Weight of an answer in the smoothed service time.
 const SERVICE_TIME_WEIGHT: f64 = 0.1;
-/// Weight of an answer in its server's fastest time, where it is slower than that: the fastest time measures the
-/// network, not chance and queues. A faster answer replaces it.
+/// Weight of an answer in its server's fastest time, if it is slower than that. A faster answer replaces the
+/// fastest time, so that it measures the network without random variation or queueing.
 const FASTEST_TIME_WEIGHT: f64 = 0.02;
-/// The settings give the costs of connections as those of one router among so many.
+/// The settings give the cost of connections for one router in this many.
 const CONNECTION_COST_ROUTERS: f64 = 100.0;
 
-/// Kept open by all routers, a connection may cost more than it saves: whatever the traffic, the cost of
-/// keeping it grows with their number and the cost of opening it again does not.
-pub(super) fn closes_idle(settings: &Settings) -> bool {
-    let keeping = f64::from(settings.balancer_count) * settings.connection_cost;
-    keeping > CONNECTION_COST_ROUTERS * settings.handshake_cost
+/// Whether idle connections are closed, because they cost more than they save. Whatever the traffic, the cost
+/// of keeping connections open grows with the number of routers, and the cost of opening them again does not.
+pub(super) fn closes_idle_connections(settings: &Settings) -> bool {
+    let keeping_cost = f64::from(settings.balancer_count) * settings.connection_cost;
+    keeping_cost > CONNECTION_COST_ROUTERS * settings.handshake_cost
 }
 
 impl Policy {
-    /// The one place that sends: sends an attempt, or tells that a rule forbids it.
+    /// Sends an attempt, or returns false if a rule forbids it. No other function sends attempts.
     pub(super) fn send(&mut self, id: RequestId, server: ServerId, call: CallKind) -> bool {
         let may_send = self.may_send(id, server);
         let Some(request) = self.requests.get_mut(&id).filter(|_| may_send) else {
@@ -71,7 +73,8 @@
             && self.may_run_again(request, server)
     }
 
-    /// No effect twice: a retry of what may have run goes only where and while it is dropped.
+    /// Whether a retry has no second effect. A retry of an attempt that may have run goes only to servers that
+    /// drop it as a duplicate, and only while they do so.
     fn may_run_again(&self, request: &InFlightRequest, server: &Server) -> bool {
         let Some(first) = request.possibly_executed.first() else {
             return true;
@@ -82,7 +85,7 @@
             Idempotency::Deduplicated { scope, window } => {
                 let first_server = self.fleet.get(first.server);
                 let is_dropped = first_server.is_some_and(|s| s.deduplicates_with(server, scope));
-                let margin = WINDOW_MARGIN_TICKS * self.settings.tick;
+                let margin = DEDUPLICATION_MARGIN_TICKS * self.settings.tick;
                 is_dropped && self.now + margin < first.sent_at + window
             }
         }
@@ -92,14 +95,14 @@
         self.settings.classes[class].idempotency == Idempotency::Idempotent
     }
 
-    /// Ends an attempt: its request has its answer, waits for other attempts, or goes on.
+    /// Ends an attempt: its request has its final answer, waits for other attempts, or makes the next call.
     pub(super) fn on_outcome(&mut self, outcome: &AttemptOutcome) {
         let (id, status) = (outcome.request, outcome.status);
         let attempt_id = AttemptId::new(id, outcome.attempt);
         let Some(attempt) = self.attempts.remove(&attempt_id) else {
             return;
         };
-        self.learn(&attempt, status);
+        self.record_outcome(&attempt, status);
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -109,7 +112,7 @@
         }
         let (class, others_in_flight) = (request.class, request.attempts_in_flight > 0);
         if outcome.request_complete || status == AttemptStatus::Served {
-            return self.forget(id);
+            return self.remove_request(id);
         }
         if others_in_flight && status != AttemptStatus::Miss {
             return; // Their outcomes decide.
@@ -126,30 +129,35 @@
         self.proceed(id);
     }
 
-    /// What a retry costs; none where the attempt cost its server nothing. Retrying what may still run adds
-    /// work just when things are slow.
+    /// What a retry costs the budget; `None` if the attempt cost its server no work. Retries of attempts that
+    /// may still be running add load just when servers are slow.
     fn retry_cost(&self, attempt: &Attempt, status: AttemptStatus) -> Option<f64> {
-        // Where each attempt opens a connection, one rejected has cost the server work all the same. One that was never
-        // sent has not.
-        let cost_nothing = matches!(status, AttemptStatus::Miss | AttemptStatus::NotSent);
-        let opened = self.closes_idle && attempt.is_cache_read() && !cost_nothing;
-        if status.proves_not_run() && !opened {
+        // Where each attempt opens a connection, even a rejected attempt has cost its server work. One that was
+        // never sent has not.
+        let has_no_cost = matches!(status, AttemptStatus::Miss | AttemptStatus::NotSent);
+        let opened_connection =
+            self.closes_idle_connections && attempt.is_cache_read() && !has_no_cost;
+        if status.proves_not_run() && !opened_connection {
             return None;
         }
-        // A connection that broke or a request that failed before its answer was due tells of no load.
+        // A connection that broke, or a request that failed, before its answer was due is no evidence of load.
         let is_early = attempt.elapsed(self.now) < attempt.slow_after;
-        let broke = matches!(status, AttemptStatus::Reset | AttemptStatus::Error);
-        Some(if broke && is_early { 0.0 } else { RETRY_COST })
+        let has_failed = matches!(status, AttemptStatus::Reset | AttemptStatus::Error);
+        Some(if has_failed && is_early {
+            0.0
+        } else {
+            RETRY_COST
+        })
     }
 
-    /// What an outcome tells of its server and of the load on the fleet, or of the origin.
-    fn learn(&mut self, attempt: &Attempt, status: AttemptStatus) {
+    /// Updates what is known of the server and of the load on the fleet, or of the origin.
+    fn record_outcome(&mut self, attempt: &Attempt, status: AttemptStatus) {
         let Some(server) = self.fleet.get_mut(attempt.server) else {
             return;
         };
         server.in_flight = server.in_flight.saturating_sub(1);
-        // The tables of the servers have no room for an idle connection from each of many routers.
-        if server.in_flight == 0 && self.closes_idle {
+        // The connection tables of the servers have no room for an idle connection from each of many routers.
+        if server.in_flight == 0 && self.closes_idle_connections {
             self.actions.push(Action::CloseIdle(attempt.server));
         }
         if !attempt.is_cache_read() {
@@ -158,10 +166,11 @@
         self.fleet.cache_attempts -= 1;
         let elapsed = attempt.elapsed(self.now);
         let is_rejected = status == AttemptStatus::Rejected;
-        // A late answer was counted when it became late: waiting for its end would lag the overload.
+        // A slow answer was counted when it became slow. Counting it at its end would detect an overload too
+        // late.
         if elapsed < attempt.slow_after {
-            let signs = f64::from(u8::from(is_rejected));
-            self.load_shedding.observe(signs, 1.0);
+            let signals = f64::from(u8::from(is_rejected));
+            self.load_shedding.observe(signals, 1.0);
         }
         let is_answered = matches!(status, AttemptStatus::Served | AttemptStatus::Miss);
         if is_rejected {
@@ -170,7 +179,7 @@
             self.on_answer_in_time(attempt.server);
         }
         match status {
-            // A server that fails each request at once looks idle and would draw ever more of them.
+            // A server that fails every request at once looks idle and would attract ever more of them.
             AttemptStatus::ConnectFailed | AttemptStatus::Reset | AttemptStatus::Error => {
                 let is_unreachable = status == AttemptStatus::ConnectFailed;
                 self.fleet.set_unreachable(attempt.server, is_unreachable);
@@ -188,7 +197,8 @@
         }
     }
 
-    /// A server's time counts from when an attempt is written: the wait for a connection tells nothing of load.
+    /// Measures a server's time from when an attempt is written. The wait for a connection is no evidence of
+    /// load.
     pub(super) fn on_connection(&mut self, id: AttemptId, established: bool) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
@@ -201,8 +211,8 @@
         }
     }
 
-    /// An attempt has had no answer for long: a sign of overload, and a failure of the server when it has
-    /// answered nothing since, as it may hang.
+    /// An attempt is slow. This is an overload signal, and also a failure if the server has answered nothing
+    /// since the attempt was sent, as it may hang.
     pub(super) fn on_attempt_slow(&mut self, id: AttemptId) {
         let Some(&attempt) = self.attempts.get(&id) else {
             return;
@@ -212,15 +222,16 @@
         }
         let elapsed = attempt.elapsed(self.now);
         if elapsed < attempt.slow_after {
-            return; // It was written later than sent, and is looked at again.
+            return; // It was written later than sent: the timer set at the write checks it.
         }
         let check_interval = attempt.slow_after + 1;
         let is_first_check = elapsed < check_interval * 3 / 2;
         let is_in_time = elapsed < attempt.objective;
-        // Half a sign when it becomes slow, and is counted, and half when nearly late: slow is not yet lost.
-        let signs = if is_in_time { 0.5 } else { 0.0 };
+        // Half a signal when the attempt becomes slow, at which point it is counted, and half when it is nearly
+        // late: a slow attempt may still be in time.
+        let signals = if is_in_time { 0.5 } else { 0.0 };
         let attempts = if is_first_check { 1.0 } else { 0.0 };
-        self.load_shedding.observe(signs, attempts);
+        self.load_shedding.observe(signals, attempts);
         if is_first_check {
             self.hedge(id.request, attempt.server);
         } else if is_in_time {
@@ -229,15 +240,15 @@
         if is_in_time {
             return self.set_timer(check_interval, Timer::AttemptSlow(id));
         }
-        // One failure for one attempt: a single slow request is no sign of an outlier.
+        // Counted as one failure per attempt: a single slow request does not make a server an outlier.
         let server = self.fleet.get(attempt.server);
         if server.is_some_and(|server| server.answered_at < attempt.sent_at) {
             self.on_server_failed(attempt.server);
         }
     }
 
-    /// Against a slow or hanging server, of which one of many routers sees too little to avoid it: a read that
-    /// waits long is hedged. Where the router sees enough, a hedged request would only add a fetch.
+    /// Hedges a slow read. One of many routers sees too little of a slow or hanging server to avoid it. Where
+    /// the router sees enough of the server, a hedged request would only add a fetch.
     fn hedge(&mut self, id: RequestId, slow_server: ServerId) {
         let server = self.fleet.get(slow_server);
         let is_well_known = server.is_some_and(|server| self.is_well_known(server));
@@ -247,8 +258,8 @@
         };
         let class = &self.settings.classes[request.class];
         let may_hedge = self.settings.may_hedge && class.idempotency == Idempotency::Idempotent;
-        let is_single_read = request.attempts_in_flight == 1 && !request.missed;
-        if !may_hedge || !is_single_read || !has_budget || is_well_known {
+        let is_only_cache_read = request.attempts_in_flight == 1 && !request.missed;
+        if !may_hedge || !is_only_cache_read || !has_budget || is_well_known {
             return;
         }
         request.excluded_servers.push(slow_server);
--- a/crates/routing-policy/src/policy/endpoints.rs
+++ b/crates/routing-policy/src/policy/endpoints.rs
@@ -1,32 +1,34 @@
-//! Updates of the endpoint list, the backoff of calls to discovery, and the capacities of servers.
+//! Updates of the endpoint list, backoff of calls to discovery, and capacities of servers.
 
 use super::Policy;
 use crate::interface::{Action, Endpoint, ListUpdate, Micros, ServerId, Settings};
 use crate::log_event::LogEvent;
 use crate::state::{KeyShare, Server, Timer};
 
-/// So many routers meet each server often; each of more routers meets it less often.
-const FEW_ROUTERS: f64 = 5.0;
-/// The first backoff is this part of the time within which a change counts as notified.
+/// Up to this many routers, each sends attempts to every server often. With more routers, each does so less
+/// often.
+const SMALL_DEPLOYMENT_ROUTERS: f64 = 5.0;
+/// The first backoff is the time within which a change counts as notified, divided by this.
 const FIRST_BACKOFF_DIVISOR: Micros = 16;
-/// The backoff is doubled so often: a change counts as notified after 6 s, whether the router knows it or not,
-/// and the longest backoff must leave time for the call itself.
-const BACKOFF_DOUBLINGS: u32 = 2;
-/// The longest mean backoff, in microseconds: the failed call may have waited for 2 s of the 6 s.
-const LONGEST_BACKOFF: Micros = 1_600_000;
-/// The least capacity of a server, and of all together, as other figures are divided by it.
-const LEAST_CAPACITY: f64 = 0.01;
+/// How many times the backoff is doubled at most. A router counts as notified of a change after 6 s, whether it
+/// knows of it or not, and the longest backoff must leave time for the call itself.
+const MAX_BACKOFF_DOUBLINGS: u32 = 2;
+/// The longest mean backoff, in microseconds: the failed call may have taken 2 s of the 6 s.
+const LONGEST_MEAN_BACKOFF_US: Micros = 1_600_000;
+/// The lowest capacity of a server, and of all servers together, since other values are divided by it.
+const MIN_CAPACITY: f64 = 0.01;
 
-/// How many times less often than one of few routers this one meets each server.
-pub(super) fn visit_interval(settings: &Settings) -> f64 {
-    (f64::from(settings.balancer_count) / FEW_ROUTERS).max(1.0)
+/// The interval between two visits of this router to a server, as a multiple of that in a small deployment.
+pub(super) fn relative_visit_interval(settings: &Settings) -> f64 {
+    (f64::from(settings.balancer_count) / SMALL_DEPLOYMENT_ROUTERS).max(1.0)
 }
 
 impl Policy {
     pub(super) fn on_endpoint_list(&mut self, update: ListUpdate, endpoints: Vec<Endpoint>) {
         match update {
             ListUpdate::Failed => return self.on_discovery_failed(),
-            // No backoff: its timeout has been waited for, and began for each router at a time of its own.
+            // No backoff: the router has already waited for the timeout of the watch, which began at a
+            // different time at each router.
             ListUpdate::WatchSilent => return self.actions.push(Action::Subscribe(true)),
             ListUpdate::Cached => {}
             ListUpdate::Full | ListUpdate::Delta => self.discovery_failures = 0,
@@ -38,7 +40,8 @@
         for endpoint in endpoints {
             restarted.extend(self.update_server(endpoint));
         }
-        // Removed and owing nothing: forgotten here, as a walk over the fleet at each review cost much CPU.
+        // Removed servers without attempts in flight are forgotten here: a scan of the fleet at each review
+        // took too much CPU time.
         self.fleet.forget_removed();
         self.sum_capacities();
         for id in restarted {
@@ -46,7 +49,8 @@
         }
     }
 
-    /// Takes one line of the list; returns the server if it has just started: each restart has a later start.
+    /// Applies one line of the list. Returns the server if it has just started: each restart has a later start
+    /// time.
     fn update_server(&mut self, endpoint: Endpoint) -> Option<ServerId> {
         let server = self.fleet.servers.entry(endpoint.id).or_default();
         server.is_origin = self.settings.origin_kind == Some(endpoint.kind);
@@ -63,20 +67,21 @@
             endpoint.weight
         };
         server.endpoint = endpoint;
-        // One presumed to have restarted stays so until the list knows.
+        // A server that is presumed to have restarted stays so until the list shows its restart.
         if server.endpoint.started != 0 {
             server.endpoint.started = server.endpoint.started.max(known_start);
         }
         has_restarted.then_some(server.endpoint.id)
     }
 
-    /// Discovery has little capacity: it is called again later each time, and not by all at once.
+    /// Discovery has little capacity, so the backoff grows with each failure, and routers do not call it all at
+    /// once.
     fn on_discovery_failed(&mut self) {
-        // Each call that waits in vain costs discovery as well: many routers begin with a longer backoff.
-        let has_many_routers = self.visit_interval > 1.0;
+        // A call that times out costs discovery work as well, so many routers begin with a longer backoff.
+        let has_many_routers = self.relative_visit_interval > 1.0;
         let doublings = self.discovery_failures + u32::from(has_many_routers);
         let first = self.settings.notified_within / FIRST_BACKOFF_DIVISOR;
-        let mean = (first << doublings.min(BACKOFF_DOUBLINGS)).min(LONGEST_BACKOFF);
+        let mean = (first << doublings.min(MAX_BACKOFF_DOUBLINGS)).min(LONGEST_MEAN_BACKOFF_US);
         let backoff = (mean as f64 * (0.5 + self.random.unit())) as Micros;
         self.discovery_failures += 1;
         self.set_timer(backoff, Timer::Subscribe);
@@ -85,13 +90,13 @@
 
     pub(super) fn weight(&self, server: &Server) -> f64 {
         if self.settings.weights_are_sizes {
-            f64::from(server.endpoint.weight).max(LEAST_CAPACITY)
+            f64::from(server.endpoint.weight).max(MIN_CAPACITY)
         } else {
             1.0
         }
     }
 
-    /// What a server can do beside others when it is warm, as its weight and its kind tell.
+    /// Capacity of a warm server relative to others, from its weight and the key share of its kind.
     pub(super) fn capacity(&self, server: &Server) -> f64 {
         self.weight(server) * self.fleet.kind_share(server)
     }
@@ -102,7 +107,7 @@
             total += self.capacity(server);
             count += 1.0;
         }
-        self.fleet.total_capacity = f64::max(total, LEAST_CAPACITY);
+        self.fleet.total_capacity = f64::max(total, MIN_CAPACITY);
         self.fleet.mean_capacity = self.fleet.total_capacity / f64::max(count, 1.0);
         self.fleet
             .count_warm_servers(self.now, self.settings.warm_up_period);
--- a/crates/routing-policy/src/policy/origin_limiter.rs
+++ b/crates/routing-policy/src/policy/origin_limiter.rs
@@ -1,46 +1,49 @@
-//! The limiter of origin calls: a cap on those outstanding, a windowed tally, and deferral at capacity.
+//! Limits on calls to the origin: a cap on outstanding calls, a count per window of time, and deferral of calls
+//! at capacity.
 
-use super::{Policy, REVIEW_KEEP, REVIEW_LEAST};
+use super::{MIN_REVIEWED_OBSERVATIONS, Policy, REVIEW_DECAY_FACTOR};
 use crate::interface::{Action, AttemptStatus, Micros, RequestId, Settings};
 use crate::log_event::LogEvent;
 use crate::state::{
     Attempt, CallKind, Crossing, DecayingRatio, Deferral, OriginCalls, SmoothedTime, Timer,
 };
 
-/// The most calls that one router has outstanding. It starts with half of them.
-const MOST_OUTSTANDING_CALLS: f64 = 20.0;
-/// So many routers may each have the most outstanding calls and the least rate; more of them share what these have
-/// together, as the origin bears the sum. It is not fewer, since a router with only a call or two at a time has to find
-/// room in spite of chance.
+/// The most outstanding calls of one router. A router starts with half of them.
+const MAX_OUTSTANDING_CALLS: f64 = 20.0;
+/// Up to this many routers may each use the full limits on outstanding calls and call rate. More routers share
+/// the total that these have, since the origin bears the sum. The number is not lower because a router limited
+/// to one or two calls at a time would often find no room through random variation alone.
 const ROUTERS_AT_FULL_LIMIT: f64 = 15.0;
-/// Calls per second that a router may make, whatever its request rate.
-const LEAST_CALLS_PER_S: f64 = 30.0;
-/// The window of the tally, as a fraction of the longest latency objective: short enough that a burst over it can still
-/// wait. It is longer where a router has so small a share that chance would overrun it.
+/// Calls per second that a router may make, even if its request rate is lower.
+const MIN_CALLS_PER_S: f64 = 30.0;
+/// Length of the counting window, as a fraction of the longest latency objective. It is short enough that calls
+/// over its limit can still wait for the next window. It is longer for a router with a small share of the
+/// limits, which random variation would exceed in a short window.
 const WINDOW_FRACTION: f64 = 0.25;
-/// The longest window of the tally, in microseconds.
-const LONGEST_WINDOW_US: f64 = 1e6;
-/// Fraction of the cap and of the tally that fetches may use; writes have the rest for themselves.
+/// The longest counting window, in microseconds.
+const MAX_WINDOW_US: f64 = 1e6;
+/// Fraction of the cap and of the window's limit that fetches may use. The rest is reserved for writes.
 const FETCH_FRACTION: f64 = 0.7;
-/// Factor of the cap at a sign of congestion.
+/// Factor applied to the cap at a congestion signal.
 const CAP_CUT_FACTOR: f64 = 0.8;
-/// The lowest cap, as a fraction of the most calls of an equal share.
+/// The lowest cap, as a fraction of the outstanding calls in an equal share.
 const CAP_FLOOR_FRACTION: f64 = 0.1;
-/// Fraction of its ceiling at which the cap is logged when it crosses it.
+/// Fraction of its ceiling at which crossings of the cap are logged.
 const LOGGED_CAP_FRACTION: f64 = 0.25;
-/// Fraction of the shortest latency objective after which an answer is a sign of congestion.
-const SLOW_FRACTION: f64 = 0.8;
-/// The origin is short of capacity while this fraction of the calls finds the limiter at capacity.
+/// Fraction of the shortest latency objective after which an answer is a congestion signal.
+const SLOW_ANSWER_FRACTION: f64 = 0.8;
+/// The origin counts as congested when the limiter had no room for this fraction of recent calls.
 const CONGESTED_FRACTION: f64 = 0.05;
-/// Weight of an answer in the usual time of a fetch.
+/// Weight of a new answer in the smoothed fetch time.
 const FETCH_TIME_WEIGHT: f64 = 0.1;
-/// Factor of the usual time of a fetch at each fetch that is not made for it: the origin may have become quicker.
+/// Factor applied to the smoothed fetch time whenever a fetch is skipped because of it, since the origin may
+/// have become faster.
 const FETCH_TIME_DECAY: f64 = 0.98;
 /// The shortest deferral, as a fraction of the latency objective: 1 s of 60 s.
-const SHORTEST_DEFERRAL: f64 = 1.0 / 60.0;
-/// The longest deferral, as a fraction of the latency objective: 3 s of 60 s. A random time between the two keeps
-/// deferred calls from coming back together.
-const LONGEST_DEFERRAL: f64 = 3.0 / 60.0;
+const SHORTEST_DEFERRAL_FRACTION: f64 = 1.0 / 60.0;
+/// The longest deferral, as a fraction of the latency objective: 3 s of 60 s. A random delay between the two
+/// limits keeps deferred calls from being retried together.
+const LONGEST_DEFERRAL_FRACTION: f64 = 3.0 / 60.0;
 
 /// The limits on this router's calls to the origin.
 #[derive(Default)]
@@ -49,10 +52,10 @@
     calls: OriginCalls,
     cut_at: Micros,
     fetch_time: SmoothedTime,
-    fetches_rest_until: Micros,
-    /// Calls of late that found the limiter at capacity.
+    fetches_paused_until: Micros,
+    /// The fraction of recent calls that found no room.
     at_capacity: DecayingRatio,
-    /// This router's equal share of the limits, 1 for all of them.
+    /// This router's equal share of the limits; 1 is the full limits.
     equal_share: f64,
     window: f64,
     slow_after: f64,
@@ -63,49 +66,57 @@
         let equal_share = (ROUTERS_AT_FULL_LIMIT / settings.router_count()).min(1.0);
         let window = settings.longest_objective() as f64 * WINDOW_FRACTION / equal_share;
         OriginLimiter {
-            // Calls from before a restart of this router may still run: the cap rises gradually.
-            cap: MOST_OUTSTANDING_CALLS / 2.0 * equal_share,
+            // Calls from before a restart of this router may still be running, so the cap rises gradually.
+            cap: MAX_OUTSTANDING_CALLS / 2.0 * equal_share,
             equal_share,
-            window: window.min(LONGEST_WINDOW_US),
-            slow_after: settings.shortest_objective() as f64 * SLOW_FRACTION,
+            window: window.min(MAX_WINDOW_US),
+            slow_after: settings.shortest_objective() as f64 * SLOW_ANSWER_FRACTION,
             ..OriginLimiter::default()
         }
     }
 
-    /// How short the origin is of capacity, from 0 to 1.
+    /// Congestion of the origin, from 0 to 1.
     pub(super) fn congestion(&self) -> f64 {
         (self.at_capacity.value() / CONGESTED_FRACTION).min(1.0)
     }
 
-    /// Where some calls find no room, what can't be answered in time takes the place of what can: the origin
-    /// would work for nobody, and what its client has given up by then is not stored either.
+    /// Whether the origin is congested and a fetch would be answered too late. Such a fetch takes the place of
+    /// one that can be in time. Its work is wasted: what the client has given up is not stored in the cache
+    /// either.
     fn is_too_late(&self, now: Micros, useful_until: Micros) -> bool {
         let in_time = now as f64 + self.fetch_time.get() < useful_until as f64;
         self.at_capacity.value() > CONGESTED_FRACTION && !in_time
     }
 
-    /// This router's share of the limits: an equal one, or what its own requests ask for by Little's law. With
-    /// equal ones a router with more clients would reject what the origin has capacity for.
-    fn share(&self, usual_rate: f64) -> f64 {
-        let needed = usual_rate * (self.slow_after / 1e6) / MOST_OUTSTANDING_CALLS;
+    /// This router's share of the limits: an equal share, or what its own request rate needs by Little's law if
+    /// that is more. With equal shares, a router with more clients than others would reject calls for which the
+    /// origin has capacity.
+    fn share(&self, long_term_rate: f64) -> f64 {
+        let needed = long_term_rate * (self.slow_after / 1e6) / MAX_OUTSTANDING_CALLS;
         self.equal_share.max(needed.min(1.0))
     }
 
-    /// Whether the outstanding cap and the windowed tally let one more call through.
+    /// Whether the cap on outstanding calls and the limit of the window allow one more call.
     fn has_room(&mut self, call: CallKind, now: Micros, rate: f64) -> bool {
-        let most_calls = rate.max(LEAST_CALLS_PER_S * self.equal_share) * self.window / 1e6;
-        let tally = self.calls.tally(now, self.window as Micros);
-        let in_tally = tally.has_room(most_calls.max(1.0));
-        let fetch_in_tally = tally.has_fetch_room((most_calls * FETCH_FRACTION).max(1.0));
+        let max_calls = rate.max(MIN_CALLS_PER_S * self.equal_share) * self.window / 1e6;
+        let window_counts = self.calls.tally(now, self.window as Micros);
+        let is_within_window = window_counts.has_room(max_calls.max(1.0));
+        let is_fetch_within_window =
+            window_counts.has_fetch_room((max_calls * FETCH_FRACTION).max(1.0));
         let outstanding = self.calls.outstanding();
-        let in_cap = outstanding.has_room(self.cap.max(1.0));
+        let is_within_cap = outstanding.has_room(self.cap.max(1.0));
         let fetch_cap = (self.cap * FETCH_FRACTION).max(1.0);
-        let fetch_in_cap = in_cap && outstanding.has_fetch_room(fetch_cap);
-        let has_room = in_tally
+        let is_fetch_within_cap = is_within_cap && outstanding.has_fetch_room(fetch_cap);
+        let has_room = is_within_window
             && match call {
-                // Where there is less than one call for each router, a write does not wait for its fetches.
-                CallKind::OriginWrite => in_cap || outstanding.has_only_fetches(),
-                _ => fetch_in_cap && fetch_in_tally && now >= self.fetches_rest_until,
+                // Where the limits allow less than one call per router, a write does not wait for this router's
+                // fetches.
+                CallKind::OriginWrite => is_within_cap || outstanding.has_only_fetches(),
+                _ => {
+                    is_fetch_within_cap
+                        && is_fetch_within_window
+                        && now >= self.fetches_paused_until
+                }
             };
         self.at_capacity.add(f64::from(u8::from(!has_room)), 1.0);
         has_room
@@ -117,31 +128,32 @@
 
     fn end_call(&mut self, attempt: &Attempt, status: AttemptStatus, now: Micros, jitter: f64) {
         self.calls.end(attempt.call);
-        // A cap of less than one is kept by a rest after each call.
-        let rest = (1.0 / (self.cap * FETCH_FRACTION) - 1.0).max(0.0) * jitter;
+        // A cap below one call is enforced by a pause in fetches after each call.
+        let pause = (1.0 / (self.cap * FETCH_FRACTION) - 1.0).max(0.0) * jitter;
         let elapsed = attempt.elapsed(now) as f64;
-        self.fetches_rest_until = now + (rest * elapsed) as Micros;
+        self.fetches_paused_until = now + (pause * elapsed) as Micros;
         if status == AttemptStatus::Served && attempt.call == CallKind::OriginFetch {
             self.fetch_time.record(elapsed, FETCH_TIME_WEIGHT);
         }
     }
 
-    /// A slow, failing or rejecting origin lowers the cap, good answers restore it.
+    /// A slow, failing or rejecting origin lowers the cap; timely answers raise it.
     fn adjust_cap(&mut self, attempt: &Attempt, status: AttemptStatus, now: Micros, share: f64) {
         let is_slow = attempt.elapsed(now) > self.slow_after as Micros;
         if status == AttemptStatus::Served && !is_slow {
             let raised = self.cap + (share / self.cap).min(self.cap);
-            self.cap = raised.min(MOST_OUTSTANDING_CALLS * share);
+            self.cap = raised.min(MAX_OUTSTANDING_CALLS * share);
         } else if status != AttemptStatus::NotSent && attempt.sent_at >= self.cut_at {
-            // One cut for all calls that were outstanding together.
+            // The cap is cut once for all calls that were outstanding together.
             self.cut_at = now;
-            let floor = MOST_OUTSTANDING_CALLS * self.equal_share * CAP_FLOOR_FRACTION;
+            let floor = MAX_OUTSTANDING_CALLS * self.equal_share * CAP_FLOOR_FRACTION;
             self.cap = (self.cap * CAP_CUT_FACTOR).max(floor);
         }
     }
 
     pub(super) fn review(&mut self) {
-        self.at_capacity.decay(REVIEW_KEEP, REVIEW_LEAST);
+        self.at_capacity
+            .decay(REVIEW_DECAY_FACTOR, MIN_REVIEWED_OBSERVATIONS);
     }
 }
 
@@ -157,7 +169,7 @@
             limiter.fetch_time.scale(FETCH_TIME_DECAY);
             return self.end_unless_in_flight(id);
         }
-        // Servers that fetch for themselves take writes too.
+        // Cache servers that fetch for themselves also take writes.
         let target = match self.settings.origin_kind {
             Some(_) => self.fleet.ready_origin(),
             None => self.pick(id),
@@ -175,19 +187,20 @@
 
     pub(super) fn on_origin_outcome(&mut self, attempt: &Attempt, status: AttemptStatus) {
         let jitter = 0.5 + self.random.unit();
-        let usual_rate = self.own_rate(self.request_rate.admitted_usually());
-        let share = self.origin_limiter.share(usual_rate);
+        let long_term_rate = self.own_rate(self.request_rate.admitted_usually());
+        let share = self.origin_limiter.share(long_term_rate);
         let limiter = &mut self.origin_limiter;
-        let before = limiter.cap;
+        let previous_cap = limiter.cap;
         limiter.end_call(attempt, status, self.now, jitter);
         limiter.adjust_cap(attempt, status, self.now, share);
-        let threshold = MOST_OUTSTANDING_CALLS * share * LOGGED_CAP_FRACTION;
-        let (fallen, risen) = (LogEvent::OriginLimitLowered, LogEvent::OriginLimitRestored);
-        let crossing = Crossing::new(before, limiter.cap, threshold).choose(fallen, risen);
+        let threshold = MAX_OUTSTANDING_CALLS * share * LOGGED_CAP_FRACTION;
+        let (lowered, restored) = (LogEvent::OriginLimitLowered, LogEvent::OriginLimitRestored);
+        let crossing =
+            Crossing::new(previous_cap, limiter.cap, threshold).choose(lowered, restored);
         self.actions.extend(crossing.map(Action::Log));
     }
 
-    /// Queues a request for a random delay, while its answer can still earn.
+    /// Retries a call after a random delay, as long as its answer can still be useful then.
     pub(super) fn defer(&mut self, id: RequestId, class: usize) {
         let retry_at = self.now + self.deferral(class);
         match self.requests.get_mut(&id) {
@@ -199,11 +212,11 @@
         }
     }
 
-    /// The random delay of a call that found no room.
+    /// The random delay of a deferred call.
     pub(super) fn deferral(&mut self, class: usize) -> Micros {
         let objective = self.settings.classes[class].latency_objective as f64;
-        let range = LONGEST_DEFERRAL - SHORTEST_DEFERRAL;
-        (objective * (SHORTEST_DEFERRAL + range * self.random.unit())) as Micros + 1
+        let range = LONGEST_DEFERRAL_FRACTION - SHORTEST_DEFERRAL_FRACTION;
+        (objective * (SHORTEST_DEFERRAL_FRACTION + range * self.random.unit())) as Micros + 1
     }
 
     pub(super) fn on_deferred(&mut self, deferral: Deferral) {
--- a/crates/routing-policy/src/policy/requests.rs
+++ b/crates/routing-policy/src/policy/requests.rs
@@ -1,38 +1,44 @@
 //! Requests: arrival, next call, final answer.
 
 use super::Policy;
-use super::attempts::{MOST_RETRIES, RETRIES_PER_REQUEST};
-use super::slow_start::HOT_KEY_REQUESTS;
+use super::attempts::{BUDGETED_RETRIES_PER_REQUEST, MAX_BUDGETED_RETRIES};
+use super::slow_start::HOT_KEY_WINDOW_REQUESTS;
 use crate::interface::{Action, Micros, Request, RequestId};
 use crate::state::{AttemptId, CallKind, InFlightRequest, Timer};
 
-/// Ticks before its time is up at which a request ends, as a timer may come late.
-const MARGIN_TICKS: Micros = 2;
+/// Ticks before its objective or deadline at which a request ends, since a timer may be late.
+const TIMER_MARGIN_TICKS: Micros = 2;
 
 impl Policy {
-    /// Takes in a request, or rejects it at once.
+    /// Accepts a request, or rejects it at once.
     pub(super) fn on_request(&mut self, arrived: &Request) {
-        let waited = self.waited_before(arrived);
-        let margin = MARGIN_TICKS * self.settings.tick;
+        let since_first_request = self.time_since_first_request(arrived);
+        let margin = TIMER_MARGIN_TICKS * self.settings.tick;
         let deadline_at = self.now + arrived.remaining_deadline.saturating_sub(margin);
         let class = &self.settings.classes[arrived.class];
-        let objective_at = self.now + class.latency_objective.saturating_sub(waited);
-        let earns_late = class.late_weight > 0.0;
+        let objective_at = self.now + class.latency_objective.saturating_sub(since_first_request);
+        let is_useful_late = class.late_weight > 0.0;
         let late_from = objective_at.saturating_sub(margin).min(deadline_at);
-        let useful_until = if earns_late { deadline_at } else { late_from };
+        let useful_until = if is_useful_late {
+            deadline_at
+        } else {
+            late_from
+        };
         let mut request = InFlightRequest::new(arrived);
         request.deadline_at = deadline_at;
         request.useful_until = useful_until;
-        self.retry_budget.deposit(RETRIES_PER_REQUEST, MOST_RETRIES);
-        self.recent_keys.add(arrived.key, HOT_KEY_REQUESTS);
+        self.retry_budget
+            .deposit(BUDGETED_RETRIES_PER_REQUEST, MAX_BUDGETED_RETRIES);
+        self.recent_keys.add(arrived.key, HOT_KEY_WINDOW_REQUESTS);
         let is_admitted = self.admit(&mut request, arrived.tenant);
         self.requests.insert(arrived.id, request);
         if !is_admitted || self.now >= deadline_at {
             return self.end(arrived.id);
         }
-        // A client's known retry was counted before: counted again, an overload in which clients retry once
-        // looks like twice the fleet, and servers that warm up in it as though they could do twice as much.
-        if waited == 0 {
+        // A known client retry is not counted again. Otherwise an overload in which each client retries once
+        // would look like a fleet with twice the capacity, and servers in slow start would be sent twice as
+        // much as they can take.
+        if since_first_request == 0 {
             self.request_rate.count();
         }
         self.timers.set(deadline_at, Timer::RequestDue(arrived.id));
@@ -58,8 +64,9 @@
         }
     }
 
-    /// At the objective, where late answers earn nothing, an attempt at a cache server only crowds out those
-    /// that can still be in time. A call to the origin runs on anyway, and its answer fills the cache.
+    /// Handles the objective and the deadline of a request. At the objective, if late answers are worthless, an
+    /// attempt at a cache server only takes capacity from requests that can still be in time. A call to the
+    /// origin continues, because its answer fills the cache.
     pub(super) fn on_request_due(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -81,7 +88,8 @@
         }
     }
 
-    /// The one place that gives a final answer: a rejection where a retry is harmless, else a failure.
+    /// Gives a request its final answer: a rejection if a retry is harmless, else a failure. No other function
+    /// does so.
     pub(super) fn end(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -92,8 +100,8 @@
             self.admission.refund(request.charged_tenant);
         }
         let answer = if is_harmless {
-            // The random delay of a deferred call: after a longer one the client's retry would be too late, and
-            // its answer take another's place.
+            // The random delay of a deferred call. After a longer delay the client's retry would be too late,
+            // and its answer would take the place of another.
             let retry_after = self.deferral(class).min(self.settings.max_retry_after);
             Action::Reject {
                 request: id,
@@ -103,11 +111,12 @@
             Action::Fail(id)
         };
         self.actions.push(answer);
-        self.forget(id);
+        self.remove_request(id);
     }
 
-    /// Forgets an answered request: work that nobody waits for is wasted and holds up the rest.
-    pub(super) fn forget(&mut self, id: RequestId) {
+    /// Removes an answered request and cancels its attempts: work that nobody waits for is wasted and delays
+    /// other requests.
+    pub(super) fn remove_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else {
             return;
         };
--- a/crates/routing-policy/src/policy/router_state.rs
+++ b/crates/routing-policy/src/policy/router_state.rs
@@ -1,4 +1,4 @@
-//! What a policy holds, and how it begins. No decisions: these are in the modules beside this one.
+//! The state of a policy and its initial values. Decisions are in the neighbouring modules.
 
 use std::collections::BTreeMap;
 
@@ -13,19 +13,19 @@
     Timer, TimerQueue,
 };
 
-/// The policy of one router: its settings, what it has learned, and the requests and attempts in flight.
+/// The policy of one router: its settings, its observations, and the requests and attempts in flight.
 pub struct Policy {
     pub(super) settings: Settings,
     pub(super) random: Random,
     pub(super) now: Micros,
-    /// The actions that the present event calls for.
+    /// The actions for the event being handled.
     pub(super) actions: Vec<Action>,
     /// The longest latency objective of all classes.
     pub(super) objective: Micros,
-    /// How many times less often than one of few routers this one meets each server.
-    pub(super) visit_interval: f64,
-    /// Whether an idle connection costs more than it saves.
-    pub(super) closes_idle: bool,
+    /// The interval between two visits of this router to a server, as a multiple of that in a small deployment.
+    pub(super) relative_visit_interval: f64,
+    /// Whether idle connections are closed, because they cost more than they save.
+    pub(super) closes_idle_connections: bool,
     pub(super) requests: BTreeMap<RequestId, InFlightRequest>,
     pub(super) attempts: BTreeMap<AttemptId, Attempt>,
     pub(super) fleet: Fleet,
@@ -35,21 +35,22 @@
     pub(super) load_shedding: LoadShedding,
     pub(super) origin_limiter: OriginLimiter,
     pub(super) retry_budget: RetryBudget,
-    /// Calls to discovery that failed in a row.
+    /// Consecutive failed calls to discovery.
     pub(super) discovery_failures: u32,
     pub(super) timers: TimerQueue,
 }
 
 impl Policy {
-    /// A router that knows its settings and nothing else yet. The seed fixes its random draws.
+    /// Creates the policy of a router that has its settings and no observations yet. The seed determines its
+    /// random draws.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut policy = Policy {
             random: Random::new(seed),
             now: 0,
             actions: Vec::new(),
             objective: settings.longest_objective(),
-            visit_interval: endpoints::visit_interval(&settings),
-            closes_idle: attempts::closes_idle(&settings),
+            relative_visit_interval: endpoints::relative_visit_interval(&settings),
+            closes_idle_connections: attempts::closes_idle_connections(&settings),
             requests: BTreeMap::new(),
             attempts: BTreeMap::new(),
             fleet: Fleet::default(),
@@ -58,7 +59,7 @@
             admission: Admission::new(&settings),
             load_shedding: LoadShedding::new(),
             origin_limiter: OriginLimiter::new(&settings),
-            retry_budget: RetryBudget::new(attempts::MOST_RETRIES),
+            retry_budget: RetryBudget::new(attempts::MAX_BUDGETED_RETRIES),
             discovery_failures: 0,
             timers: TimerQueue::default(),
             settings,
--- a/crates/routing-policy/src/policy/selection.rs
+++ b/crates/routing-policy/src/policy/selection.rs
@@ -1,35 +1,40 @@
-//! Selection of a cache server: the key's order, the load bound, and servers to be passed over.
+//! Selection of a cache server: the order of servers for a key, the load bound, and the servers to skip.
 
 use super::Policy;
 use crate::interface::{Key, RequestId, ServerId};
 use crate::state::{InFlightRequest, OrderSegment, Purpose, Server, unit_hash};
 
-/// A server is passed over from this multiple of its part of this router's attempts in flight.
-const LOAD_BOUND: f64 = 1.25;
-/// The same multiple while the origin has no capacity for the fetches that passing over costs.
-const LOAD_BOUND_CONGESTED: f64 = 3.0;
-/// The bound is not below this router's part of so many attempts: a quiet router would scatter its keys otherwise.
-const LEAST_BOUND_ATTEMPTS: f64 = 8.0;
-/// A server is full if its queue takes longer than this fraction of the remaining time.
-const FULL_FRACTION: f64 = 0.5;
-/// Answers that a server is credited with before any were seen: a few attempts in flight at an idle one pass.
+/// Load bound factor: a server is skipped once it holds this multiple of its capacity share of the router's
+/// attempts in flight.
+const LOAD_BOUND_FACTOR: f64 = 1.25;
+/// The load bound factor while the origin has no capacity for the fetches that skipping a server causes.
+const LOAD_BOUND_FACTOR_CONGESTED: f64 = 3.0;
+/// Lower limit of the load bound: this many attempts in flight, divided by the number of routers. Without it, a
+/// router with little traffic would scatter its keys over many servers.
+const MIN_BOUND_ATTEMPTS: f64 = 8.0;
+/// A server is full if the estimated wait there exceeds this fraction of the time in which an answer is useful.
+const MAX_WAIT_FRACTION: f64 = 0.5;
+/// Recent answers credited to every server, so that a few attempts in flight at an idle server are accepted
+/// before it has answered any.
 const ANSWER_CREDIT: f64 = 2.0;
-/// Once the time that servers take is known, a server is credited with the answers of so many cores within a latency
-/// objective. The few answers that one of many routers draws from an idle server tell how little it asked, not how little
-/// the server can do.
+/// Once the service time is known, a server is credited with the answers that this many cores give within one
+/// latency objective. One of many routers gets few answers from an idle server because it sends few requests,
+/// not because the server is slow.
 const CREDITED_CORES: f64 = 3.0;
 
-/// Less than the least error that a logarithm and a division could add to a position.
-const ROUNDING: f64 = 1.0 - 1e-9;
+/// Factor that lowers a bound on a position by more than the rounding errors of a logarithm and a division.
+const ROUNDING_MARGIN: f64 = 1.0 - 1e-9;
 
-/// How good a server is for a request; the least is the best, compared field by field.
+/// Rank of a server for one request. Ranks are compared field by field; the lowest is the best.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 struct Rank {
-    /// Last, not left out: when most look bad the cause is shared, and there is no better place.
+    /// Ejected servers rank last but stay candidates: when most servers are ejected, the failures have a shared
+    /// cause, and no server is a better choice.
     is_ejected: bool,
-    /// A client in a hurry is served by a server near by or not at all.
+    /// Whether even the server's fastest answers would be too late. A client with little time left is served by
+    /// a server near by or not at all.
     is_too_slow: bool,
-    is_passed_over: bool,
+    is_skipped: bool,
     position: f64,
     server: ServerId,
 }
@@ -41,21 +46,22 @@
     key: Key,
     request: &'a InFlightRequest,
     /// The largest weight of any server.
-    most_weight: f64,
-    /// Time in which an answer still earns, microseconds.
-    remaining: f64,
+    max_weight: f64,
+    /// Time left in which an answer is useful, in microseconds.
+    remaining_time: f64,
     bound_per_capacity: f64,
-    least_bound: f64,
+    min_bound: f64,
 }
 
 impl Rank {
-    fn has_objection(&self) -> bool {
-        self.is_ejected || self.is_too_slow || self.is_passed_over
+    fn is_deprioritized(&self) -> bool {
+        self.is_ejected || self.is_too_slow || self.is_skipped
     }
 }
 
 impl Policy {
-    /// The first server in the key's order within the load bound, else the first; none where that is full.
+    /// Picks the best server for a request: normally the first in the key's order within the load bound, or the
+    /// first of all if none is. Returns `None` if that server is full or too slow to answer in time.
     pub(super) fn pick(&mut self, id: RequestId) -> Option<ServerId> {
         let key = self.requests.get(&id)?.key;
         let key = if key == 0 { id } else { key };
@@ -70,11 +76,12 @@
         let selection = Selection::new(self, id, key, request);
         let best = selection.best(first)?;
         let is_full = selection.is_full(self.fleet.get(best.server)?);
-        // Passing over a full server for one far down the order would scatter the keys and empty the caches.
+        // A full server is not replaced by one far down the order: that would scatter the keys and empty the
+        // caches.
         (!best.is_too_slow && !is_full).then_some(best.server)
     }
 
-    /// Whether this router sees enough of a server to tell how it does.
+    /// Whether this router has enough recent answers from a server to judge its performance.
     pub(super) fn is_well_known(&self, server: &Server) -> bool {
         server.recent_answers(self.now, self.objective) >= ANSWER_CREDIT
     }
@@ -83,43 +90,44 @@
 impl<'a> Selection<'a> {
     fn new(policy: &'a Policy, id: RequestId, key: Key, request: &'a InFlightRequest) -> Self {
         let congestion = policy.origin_limiter.congestion();
-        let multiple = LOAD_BOUND + (LOAD_BOUND_CONGESTED - LOAD_BOUND) * congestion;
+        let bound_factor =
+            LOAD_BOUND_FACTOR + (LOAD_BOUND_FACTOR_CONGESTED - LOAD_BOUND_FACTOR) * congestion;
         let attempts = f64::from(policy.fleet.cache_attempts + 1);
-        // All of it from one router alone is a crowd.
-        let routers = f64::from(policy.settings.balancer_count.max(2));
+        // A single router counts as two: with the whole lower limit to itself, it would overload one server.
+        let router_count = f64::from(policy.settings.balancer_count.max(2));
         let heaviest = policy.fleet.heaviest.and_then(|id| policy.fleet.get(id));
         Selection {
             policy,
             id,
             key,
             request,
-            most_weight: heaviest.map_or(f64::INFINITY, |server| policy.weight(server)),
-            remaining: request.useful_until.saturating_sub(policy.now) as f64,
-            bound_per_capacity: multiple * attempts / policy.fleet.total_capacity,
-            least_bound: LEAST_BOUND_ATTEMPTS / routers,
+            max_weight: heaviest.map_or(f64::INFINITY, |server| policy.weight(server)),
+            remaining_time: request.useful_until.saturating_sub(policy.now) as f64,
+            bound_per_capacity: bound_factor * attempts / policy.fleet.total_capacity,
+            min_bound: MIN_BOUND_ATTEMPTS / router_count,
         }
     }
 
-    /// The best of all servers. Those of the first segment mostly do: a server without objection is better
-    /// than all that have to come later in the order.
+    /// The best of all servers. Searching the first segment is usually enough: a server that is not
+    /// deprioritized ranks before all servers that come later in the order.
     fn best(&self, first: &OrderSegment) -> Option<Rank> {
-        let mut best = self.best_of(first, None);
-        let mut last: Option<OrderSegment> = None;
+        let mut best = self.best_in_segment(first, None);
+        let mut current: Option<OrderSegment> = None;
         loop {
-            let segment = last.as_ref().unwrap_or(first);
-            if segment.is_last() || self.beats_all_behind(best, segment.most_draw_behind()) {
+            let segment = current.as_ref().unwrap_or(first);
+            if segment.is_last() || self.beats_all_later(best, segment.most_draw_behind()) {
                 return best;
             }
             let next = self.policy.fleet.key_orders.next_segment(self.key, segment);
-            best = self.best_of(&next, best);
-            last = Some(next);
+            best = self.best_in_segment(&next, best);
+            current = Some(next);
         }
     }
 
-    /// The better of a server and the best of a segment.
-    fn best_of(&self, segment: &OrderSegment, mut best: Option<Rank>) -> Option<Rank> {
+    /// The best server of a segment, or `best` if none of the segment is better.
+    fn best_in_segment(&self, segment: &OrderSegment, mut best: Option<Rank>) -> Option<Rank> {
         for place in &segment.servers {
-            if self.beats_all_behind(best, place.draw()) {
+            if self.beats_all_later(best, place.draw()) {
                 break;
             }
             let server = self.policy.fleet.get(place.server);
@@ -134,39 +142,47 @@
         best
     }
 
-    /// Whether a server is better than all whose draws are at most this.
-    fn beats_all_behind(&self, rank: Option<Rank>, draw: f64) -> bool {
-        rank.is_some_and(|rank| !rank.has_objection() && rank.position < self.first_position(draw))
+    /// Whether a rank is better than that of every server whose draw is at most `max_draw`.
+    fn beats_all_later(&self, rank: Option<Rank>, max_draw: f64) -> bool {
+        rank.is_some_and(|rank| {
+            !rank.is_deprioritized() && rank.position < self.min_position(max_draw)
+        })
     }
 
     fn is_eligible(&self, server: &Server) -> bool {
         let is_excluded = self.request.excluded_servers.contains(&server.endpoint.id);
-        !is_excluded && self.policy.may_take(self.key, self.request, server)
+        !is_excluded
+            && self
+                .policy
+                .is_allowed_by_slow_start(self.key, self.request, server)
     }
 
     fn rank(&self, server: &Server, draw: f64) -> Rank {
         Rank {
             is_ejected: self.policy.is_ejected(server),
-            is_too_slow: server.fastest.get() > self.remaining,
-            is_passed_over: self.is_passed_over(server),
+            is_too_slow: server.fastest.get() > self.remaining_time,
+            is_skipped: self.is_skipped(server),
             position: self.position(server, draw),
             server: server.endpoint.id,
         }
     }
 
-    /// Whether the next server in the order is to be preferred.
-    fn is_passed_over(&self, server: &Server) -> bool {
+    /// Whether a later server in the order is preferred: this one has reached the load bound, its key share
+    /// excludes the key, or its queue is too long.
+    fn is_skipped(&self, server: &Server) -> bool {
         let bound = self.bound_per_capacity * self.policy.capacity(server);
-        let shed = 1.0 - self.policy.fleet.key_share(server);
-        f64::from(server.in_flight) >= bound.max(self.least_bound)
-            || (shed > 0.0 && unit_hash(self.key, server.endpoint.id, Purpose::KeyShare) < shed)
-            || self.queue_time(server) > self.remaining * FULL_FRACTION
+        let skipped_share = 1.0 - self.policy.fleet.key_share(server);
+        f64::from(server.in_flight) >= bound.max(self.min_bound)
+            || (skipped_share > 0.0
+                && unit_hash(self.key, server.endpoint.id, Purpose::KeyShare) < skipped_share)
+            || self.queue_time(server) > self.remaining_time * MAX_WAIT_FRACTION
     }
 
-    /// Position of a server in the key's order, the smaller the earlier (weighted rendezvous hashing): the same
-    /// at every router, and little moves when a server comes or goes.
+    /// Position of a server in the key's order, lowest first (weighted rendezvous hashing). It is the same at
+    /// every router, and few keys move when a server is added or removed.
     fn position(&self, server: &Server, draw: f64) -> f64 {
-        // The same order without the logarithm, which was most of a pick at 475 servers.
+        // The negated draw gives the same order without the logarithm, which took most of the time of a pick at
+        // 475 servers.
         if self.policy.settings.weights_are_sizes {
             -draw.ln() / self.policy.weight(server)
         } else {
@@ -174,24 +190,26 @@
         }
     }
 
-    /// No server whose draw is at most this comes earlier in the order.
-    fn first_position(&self, draw: f64) -> f64 {
+    /// Lower bound of the positions of all servers whose draw is at most `max_draw`.
+    fn min_position(&self, max_draw: f64) -> f64 {
         if self.policy.settings.weights_are_sizes {
-            // A bound of the logarithm that costs less and holds whatever its last digits are.
-            (1.0 - draw) * ROUNDING / self.most_weight
+            // -ln(x) >= 1 - x. This bound is cheaper than the logarithm and holds despite rounding.
+            (1.0 - max_draw) * ROUNDING_MARGIN / self.max_weight
         } else {
-            -draw
+            -max_draw
         }
     }
 
     fn is_full(&self, server: &Server) -> bool {
-        let most = self.remaining * FULL_FRACTION;
+        let max_wait = self.remaining_time * MAX_WAIT_FRACTION;
         let limits_tenants = self.policy.load_shedding.limits_tenants();
-        self.queue_time(server) > most || (limits_tenants && self.backlog_time(server) > most)
+        self.queue_time(server) > max_wait
+            || (limits_tenants && self.backlog_time(server) > max_wait)
     }
 
-    /// Wait at a server by what the list tells of the requests that all routers together have there. Each
-    /// request takes it for more or less, else all routers would reject, and come back, in step.
+    /// Estimated wait in a server's queue. The endpoint list gives the requests per core that all routers
+    /// together have in flight there. The estimate is scaled by a factor that differs between requests;
+    /// otherwise all routers would reject requests, and return to the server, in step.
     fn queue_time(&self, server: &Server) -> f64 {
         let wait = self.policy.fleet.service_time.get() * server.requests_per_core();
         if wait > 0.0 {
@@ -201,13 +219,17 @@
         }
     }
 
-    /// Time until a server has answered what this router has in flight there, at the pace of its latest
-    /// answers (Little's law), with a credit for a server that has had little to answer.
+    /// Time until a server has answered this router's attempts in flight, at the rate of its recent answers
+    /// (Little's law). A credit of answers keeps a server that has had few requests from looking slow.
     fn backlog_time(&self, server: &Server) -> f64 {
         let objective = self.policy.objective as f64;
         let service_time = self.policy.fleet.service_time.get();
-        let cores = CREDITED_CORES * objective / service_time;
-        let credit = if service_time > 0.0 { cores } else { 0.0 };
+        let core_answers = CREDITED_CORES * objective / service_time;
+        let credit = if service_time > 0.0 {
+            core_answers
+        } else {
+            0.0
+        };
         let answers = server.recent_answers(self.policy.now, self.policy.objective);
         f64::from(server.in_flight) * objective / (answers + credit.max(ANSWER_CREDIT))
     }
--- a/crates/routing-policy/tests/unit/selection_reference.rs
+++ b/crates/routing-policy/tests/unit/selection_reference.rs
@@ -1,5 +1,4 @@
-//! The choice of a server by its definition, a walk over all servers, against the search in segments of the
-//! key's order.
+//! Compares the search for a server in segments of the key's order with a scan of all servers.
 #![allow(clippy::unwrap_used, reason = "test code")]
 
 use proptest::prelude::*;
@@ -9,15 +8,15 @@
 use crate::state::*;
 
 impl Policy {
-    /// The choice by its definition: the least rank of all servers that may take the request.
-    fn pick_by_definition(&self, id: RequestId) -> Option<ServerId> {
+    /// The choice by its definition: the lowest rank of all servers that may take the request.
+    fn pick_by_full_scan(&self, id: RequestId) -> Option<ServerId> {
         let request = self.requests.get(&id)?;
         let key = if request.key == 0 { id } else { request.key };
         let selection = Selection::new(self, id, key, request);
         let mut best: Option<Rank> = None;
         for server in self.fleet.ready_cache_servers() {
             let is_excluded = request.excluded_servers.contains(&server.endpoint.id);
-            if is_excluded || !self.may_take(key, request, server) {
+            if is_excluded || !self.is_allowed_by_slow_start(key, request, server) {
                 continue;
             }
             let draw = unit_hash(key, server.endpoint.id, Purpose::Position);
@@ -32,7 +31,7 @@
     }
 }
 
-/// Draws for one case; each is used for one choice of the case alone.
+/// Random draws for one test case. Each draw decides one choice in the case.
 struct Draws(Random);
 
 impl Draws {
@@ -47,7 +46,7 @@
 
 const SECOND: Micros = 1_000_000;
 const START: Micros = 1_000 * SECOND;
-/// Few enough that keys come again, and share their places with others.
+/// Few enough that keys repeat and share their slots with others.
 const KEYS: u64 = 3_000;
 
 fn settings(draws: &mut Draws) -> Settings {
@@ -85,9 +84,11 @@
     }
 }
 
-fn take_list(policy: &mut Policy, draws: &mut Draws, update: ListUpdate, size: u64) {
-    let most = if update == ListUpdate::Delta { 5 } else { size };
-    let ids: std::collections::BTreeSet<_> = (0..most).map(|_| 1 + draws.below(2 * size)).collect();
+fn apply_list(policy: &mut Policy, draws: &mut Draws, update: ListUpdate, size: u64) {
+    let max_endpoints = if update == ListUpdate::Delta { 5 } else { size };
+    let ids: std::collections::BTreeSet<_> = (0..max_endpoints)
+        .map(|_| 1 + draws.below(2 * size))
+        .collect();
     let endpoints = ids.into_iter().map(|id| endpoint(draws, id as ServerId));
     let endpoints = endpoints.collect();
     policy.handle(
@@ -97,8 +98,8 @@
     );
 }
 
-/// Gives some servers, or nearly all, something that speaks against them.
-fn trouble_servers(policy: &mut Policy, draws: &mut Draws) {
+/// Makes some servers, or nearly all, less preferable: ejected, loaded, slow, or with a cut key share.
+fn degrade_servers(policy: &mut Policy, draws: &mut Draws) {
     let one_in = 1 + draws.below(12);
     let now = policy.now;
     for server in policy.fleet.servers.values_mut() {
@@ -144,34 +145,34 @@
     #![proptest_config(ProptestConfig { cases: 48, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn each_pick_is_that_of_a_walk_over_all_servers(seed: u64, size in 0u64..700) {
+    fn each_pick_is_that_of_a_scan_of_all_servers(seed: u64, size in 0u64..700) {
         let mut draws = Draws(Random::new(seed));
         let mut policy = Policy::new(settings(&mut draws), seed);
         policy.now = START;
-        take_list(&mut policy, &mut draws, ListUpdate::Full, size);
+        apply_list(&mut policy, &mut draws, ListUpdate::Full, size);
         for round in 0..12 {
-            trouble_servers(&mut policy, &mut draws);
+            degrade_servers(&mut policy, &mut draws);
             for id in 1..=40 {
                 request(&mut policy, &mut draws, id);
-                let expected = policy.pick_by_definition(id);
+                let expected = policy.pick_by_full_scan(id);
                 prop_assert_eq!(policy.pick(id), expected);
-                // Again, from what was kept.
+                // Again, from the kept order.
                 prop_assert_eq!(policy.pick(id), expected);
-                // What was picked excluded, as on a retry.
+                // With the picked server excluded, as on a retry.
                 let excluded = &mut policy.requests.get_mut(&id).unwrap().excluded_servers;
                 excluded.extend(expected);
-                let expected = policy.pick_by_definition(id);
+                let expected = policy.pick_by_full_scan(id);
                 prop_assert_eq!(policy.pick(id), expected);
             }
             policy.requests.clear();
             policy.now += draws.below(SECOND);
             let update = if round == 6 { ListUpdate::Full } else { ListUpdate::Delta };
-            take_list(&mut policy, &mut draws, update, size);
+            apply_list(&mut policy, &mut draws, update, size);
         }
     }
 
     #[test]
-    fn the_hash_of_one_key_and_many_servers_is_that_of_the_unit_hash(key: Key, server: ServerId) {
+    fn the_position_hash_of_a_key_equals_the_unit_hash_of_each_server(key: Key, server: ServerId) {
         let draw = unit_interval(PositionHash::new(key).of(server));
         prop_assert_eq!(draw, unit_hash(key, server, Purpose::Position));
     }
