--- a/crates/routing-policy/src/identifiers.rs
+++ b/crates/routing-policy/src/identifiers.rs
@@ -1,6 +1,6 @@
-//! What identifies a request, a server and a key, and the unit of time. A leaf module.
+//! Identifiers of requests, servers and keys, and the unit of time. This module depends on no other.
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 /// Identifies a client request at this router; never used twice.
 pub type RequestId = u64;
--- a/crates/routing-policy/src/interface.rs
+++ b/crates/routing-policy/src/interface.rs
@@ -1,6 +1,6 @@
-//! The interface of the policy: settings, events that it takes, actions that it answers with.
+//! The interface of the policy: its settings, the events that it takes, and the actions that it returns.
 //!
-//! Times are microseconds of the caller's clock, which may start anywhere and only advances.
+//! Times are in microseconds of the caller's clock, which may start anywhere and never goes back.
 
 mod action;
 mod attempt;
--- a/crates/routing-policy/src/interface/action.rs
+++ b/crates/routing-policy/src/interface/action.rs
@@ -1,9 +1,9 @@
-//! What the policy has its caller do.
+//! Actions that the policy requests from its caller.
 
 use crate::identifiers::{Micros, RequestId, ServerId};
 use crate::log_event::LogEvent;
 
-/// Something that the caller is to do, in the order given.
+/// An action for the caller to carry out. Actions are carried out in the order given.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send an attempt of a request to a server.
@@ -12,7 +12,7 @@
         request: RequestId,
         /// The server.
         server: ServerId,
-        /// Give the attempt up after this time; 0 for the client's deadline.
+        /// Time after which the attempt is given up; 0 for the client's deadline.
         give_up_after: Micros,
     },
     /// Final answer: rejected, a retry is harmless.
@@ -55,6 +55,6 @@
     },
     /// An event for the log.
     Log(LogEvent),
-    /// The policy cannot go on.
+    /// The policy cannot continue.
     Fault(String),
 }
--- a/crates/routing-policy/src/interface/attempt.rs
+++ b/crates/routing-policy/src/interface/attempt.rs
@@ -1,4 +1,4 @@
-//! How attempts end, and what a response tells of its server.
+//! Outcomes of attempts, and the load reports of servers.
 
 use crate::identifiers::{Micros, RequestId, ServerId};
 
@@ -22,7 +22,7 @@
     Error,
     /// The server rejected it before execution; it did not run.
     Rejected,
-    /// No answer in time; it may have run or still run.
+    /// No answer in time; it may have run or may still be running.
     TimedOut,
     /// No connection was established; it did not run.
     ConnectFailed,
@@ -47,7 +47,7 @@
     }
 }
 
-/// What a response says of the key in the cache.
+/// What a response says about the key in the cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum CacheLookup {
     /// Nothing.
@@ -68,16 +68,16 @@
     pub request: RequestId,
     /// Number of the attempt within its request, from 0, in the order of sending.
     pub attempt: u16,
-    /// Where it had been sent.
+    /// The server that it was sent to.
     pub server: ServerId,
     /// How it ended.
     pub status: AttemptStatus,
-    /// Whether the request has its final answer, by this outcome or before.
+    /// Whether the request has its final answer, from this outcome or an earlier one.
     pub request_complete: bool,
-    /// What the response says of the key.
+    /// What the response says about the key.
     pub cache_lookup: CacheLookup,
     /// Time from sending to this outcome.
     pub elapsed: Micros,
-    /// Load report of the server, empty where there was none.
+    /// Load report of the server, empty if there was none.
     pub load: LoadReport,
 }
--- a/crates/routing-policy/src/interface/endpoint.rs
+++ b/crates/routing-policy/src/interface/endpoint.rs
@@ -9,13 +9,13 @@
     pub id: ServerId,
     /// Its zone.
     pub zone: u8,
-    /// Its cell, a small group that shares which idempotency keys it has seen.
+    /// Its cell: a small group of servers that share their records of seen idempotency keys.
     pub cell: u16,
     /// Its machine kind.
     pub kind: u16,
-    /// Its weight; the settings say what it means.
+    /// Its weight. The settings define what it means.
     pub weight: f32,
-    /// When its process started; 0 for long ago.
+    /// When its process started; 0 if that was long ago.
     pub started: Micros,
     /// Whether it takes requests.
     pub state: EndpointState,
@@ -40,24 +40,24 @@
 pub enum EndpointState {
     /// It takes requests.
     Ready,
-    /// It completes what it has in flight; nothing new may be sent to it.
+    /// It completes its requests in flight; nothing new may be sent to it.
     Draining,
-    /// It is no longer there.
+    /// It no longer exists.
     Removed,
 }
 
 /// How an endpoint list relates to the one in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// The whole list; a server not in it is removed.
+    /// The complete list; a server that is not in it is removed.
     Full,
-    /// The list cached before a restart of the router, whole but perhaps old.
+    /// The list cached before a restart of the router: complete, but possibly outdated.
     Cached,
     /// Only endpoints that changed.
     Delta,
     /// A call to discovery failed or the watch broke; the list stays in force.
     Failed,
-    /// An open watch has stalled, which is not for discovery to say: the list stays in force, but changes that
-    /// it misses count as notified soon.
+    /// An open watch has stalled, which discovery itself cannot report. The list stays in force, but the router
+    /// soon counts as notified of changes that it misses.
     WatchSilent,
 }
--- a/crates/routing-policy/src/interface/event.rs
+++ b/crates/routing-policy/src/interface/event.rs
@@ -1,4 +1,4 @@
-//! What happens at a router and is passed to its policy.
+//! Events at a router that are passed to its policy.
 
 use super::attempt::{AttemptOutcome, LoadReport};
 use super::endpoint::{Endpoint, ListUpdate};
@@ -19,15 +19,15 @@
     pub write: bool,
     /// Whether the client has marked it as a retry.
     pub is_retry: bool,
-    /// Time until the client gives it up.
+    /// Time until the client gives up.
     pub remaining_deadline: Micros,
-    /// Expected service time, where known.
+    /// Expected service time, if known.
     pub cost: Option<Micros>,
     /// Size of the value in bytes, 0 where unknown.
     pub value_size: f32,
 }
 
-/// Something that happened at this router.
+/// An event at this router.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// The endpoint list, or a change of it.
@@ -37,12 +37,12 @@
         /// Its endpoints.
         endpoints: Vec<Endpoint>,
     },
-    /// A client's request arrived; it is owed one final answer from now on.
+    /// A client's request arrived. From now on it must get exactly one final answer.
     Request(Request),
     /// An attempt ended.
     AttemptOutcome(AttemptOutcome),
     /// An attempt waits for a connection (`established` is false), or has it and is being written. Without this
-    /// event, an attempt is written when it is sent.
+    /// event, an attempt counts as written when it is sent.
     Connection {
         /// Its request.
         request: RequestId,
@@ -51,19 +51,19 @@
         /// Whether it has its connection.
         established: bool,
     },
-    /// A streamed response began; the request is owed nothing more.
+    /// A streamed response began; no further answer is due for the request.
     ResponseStarted {
         /// Its request.
         request: RequestId,
         /// The attempt that it belongs to.
         attempt: u16,
     },
-    /// The client disconnected, or the request ended otherwise; it is owed nothing more.
+    /// The client disconnected, or the request ended otherwise; no further answer is due.
     ClientGone(RequestId),
     /// A timer set by [`Action::Timer`](super::Action::Timer) has fired.
     Timer(u32),
-    /// The outcome of a health check; or, with `healthy`, a connection that came up after the attempts that
-    /// waited for it had given up, which shows as much.
+    /// The outcome of a health check. With `healthy`, it also stands for a connection that was established
+    /// after the attempts that waited for it had given up, which shows the same.
     HealthChecked {
         /// The server checked.
         server: ServerId,
@@ -71,7 +71,7 @@
         healthy: bool,
         /// Time from sending to this outcome.
         elapsed: Micros,
-        /// Load report of the server, empty where there was none.
+        /// Load report of the server, empty if there was none.
         load: LoadReport,
     },
     /// A message of another router.
--- a/crates/routing-policy/src/interface/settings.rs
+++ b/crates/routing-policy/src/interface/settings.rs
@@ -1,8 +1,8 @@
-//! What a router is configured with at its start.
+//! The settings of a router.
 
 use crate::identifiers::Micros;
 
-/// What a router is configured with at its start.
+/// The settings of a router, read at its start.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// Number of routers in front of the fleet.
@@ -15,19 +15,20 @@
     pub classes: Vec<RequestClass>,
     /// The tenants; empty where a deployment has none.
     pub tenants: Vec<Tenant>,
-    /// Whether the endpoint list must be requested (a watch or the whole list) or arrives unrequested.
+    /// Whether the router must request the endpoint list (a watch or the complete list); otherwise it arrives
+    /// unrequested.
     pub poll_discovery: bool,
     /// A router without a watch counts as notified of a change this long after it happened.
     pub notified_within: Micros,
     /// Machine kind of the origin in the endpoint list; `None` where cache servers fetch for themselves.
     pub origin_kind: Option<u16>,
-    /// Whether weights in the endpoint list are sizes of servers.
+    /// Whether weights in the endpoint list are the sizes of servers.
     pub weights_are_sizes: bool,
     /// Whether weights in the endpoint list are size / (1 + requests in flight per core).
     pub weights_are_live: bool,
     /// The fields of load reports, in their order.
     pub load_fields: Vec<LoadField>,
-    /// Attempts that one request may make, the first included.
+    /// Attempts that one request may make, including the first.
     pub max_attempts: u32,
     /// Whether two attempts of one request may be in flight at once.
     pub may_hedge: bool,
@@ -37,21 +38,21 @@
     pub may_check_health: bool,
     /// Whether routers may send each other messages.
     pub may_message_peers: bool,
-    /// Cost of the connections that one router in a hundred keeps open to all servers.
+    /// Cost of the connections that one of a hundred routers keeps open to all servers.
     pub connection_cost: f64,
     /// Cost of opening a connection for each request, in the same unit.
     pub handshake_cost: f64,
     /// The longest Retry-After that clients honour; 0 where they honour none.
     pub max_retry_after: Micros,
-    /// Shortest time between two calls of the policy; timers are this late at the most.
+    /// Shortest time between two calls of the policy. Timers fire at most this late.
     pub tick: Micros,
     /// A server that has just started has at least this fraction of its capacity.
     pub cold_capacity_share: f64,
     /// A server has its whole capacity this long after its start at the latest.
     pub warm_up_period: Micros,
-    /// A server that warms up collapses when sent more than this multiple of its present capacity.
+    /// A server that is warming up collapses when its load exceeds this multiple of its present capacity.
     pub overload_multiple: f64,
-    /// For how long that multiple must last.
+    /// How long the load must exceed that multiple before the server collapses.
     pub overload_window: Micros,
     /// Sends to a draining or removed server must stop within this time.
     pub drain_grace: Micros,
@@ -114,15 +115,15 @@
 /// A class of requests with one latency objective.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestClass {
-    /// An answer within this time earns the full priority weight.
+    /// An answer within this time has the full priority weight.
     pub latency_objective: Micros,
-    /// A client waits this long, its retries included.
+    /// A client waits this long, including its retries.
     pub deadline: Micros,
-    /// What an answer in time earns.
+    /// The value of an answer in time.
     pub priority_weight: f64,
-    /// Fraction of the priority weight that an answer after the objective still earns.
+    /// Fraction of the priority weight that an answer after the objective still has.
     pub late_weight: f64,
-    /// What a retry of such a request does.
+    /// Whether a retry of such a request repeats its effect.
     pub idempotency: Idempotency,
 }
 
@@ -138,23 +139,23 @@
     }
 }
 
-/// What a retry of a request that may have run does.
+/// Effect of a retry of a request that may have run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Idempotency {
-    /// Nothing: it may be sent any number of times.
+    /// None: it may be sent any number of times.
     Idempotent,
-    /// It carries an idempotency key: servers in scope drop a retry for a while after the first attempt.
+    /// It carries an idempotency key: servers in scope drop retries within a window after the first attempt.
     Deduplicated {
         /// Which servers drop a retry.
         scope: DeduplicationScope,
-        /// For how long, since the earliest attempt that may have run was sent.
+        /// Length of the window. It starts when the earliest attempt that may have run was sent.
         window: Micros,
     },
-    /// The effect happens again.
+    /// The effect is repeated.
     NotIdempotent,
 }
 
-/// The cache servers that share which idempotency keys they have seen.
+/// The cache servers that share their records of seen idempotency keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All cache servers.
--- a/crates/routing-policy/src/lib.rs
+++ b/crates/routing-policy/src/lib.rs
@@ -1,10 +1,10 @@
 //! Decisions of a router in front of fleets of cache servers, as a pure and deterministic state machine.
 //!
-//! A [`Policy`] takes what happens at one router ([`Event`]) with the time, and returns what to do
-//! ([`Action`]). It has no clock, no threads and no I/O: the program that embeds it owns the sockets.
+//! A [`Policy`] takes an event at one router ([`Event`]) with the time, and returns what to do ([`Action`]). It
+//! has no clock, no threads and no I/O: the program that embeds it owns the sockets.
 //!
-//! Every decision is in `policy` and its modules, one for each concern; `state` holds records, containers and
-//! estimators, which decide nothing.
+//! All decisions are in `policy` and its modules, one for each concern. `state` contains records, containers
+//! and estimators, which make no decisions.
 //!
 //! ```
 //! use routing_policy::{
--- a/crates/routing-policy/src/settings.rs
+++ b/crates/routing-policy/src/settings.rs
@@ -1,5 +1,6 @@
 //! Reads the settings of a deployment from the JSON form that the simulator's first message and the router's
-//! configuration share. The `Wire` types have the keys of that form; here is where they get the code's names.
+//! configuration share. The `Wire` types have the keys of that form; this module maps them to the names used in
+//! the code.
 
 use serde::Deserialize;
 
@@ -7,7 +8,7 @@
     DeduplicationScope, Idempotency, LoadField, Micros, RequestClass, Settings, Tenant,
 };
 
-/// A deployment: the settings of the policy, and what only the program that embeds it needs.
+/// A deployment: the settings of the policy, and the values that only the embedding program needs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Deployment {
     /// The settings of the policy.
@@ -22,9 +23,9 @@
     pub kinds: Vec<String>,
     /// Names of the fields of a load report, in the order of [`Settings::load_fields`].
     pub load_names: Vec<String>,
-    /// A connection that is not established after this time has failed, microseconds.
+    /// Time after which a connection that is not established has failed, in microseconds.
     pub connect_timeout: Micros,
-    /// Servers close a connection that was idle for this long, microseconds.
+    /// Time after which servers close an idle connection, in microseconds.
     pub idle_close: Micros,
     /// Requests that a router may have in flight at once.
     pub max_open: usize,
@@ -195,7 +196,7 @@
     }
 }
 
-/// Why settings can't be used.
+/// Reasons why settings cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// They are not JSON, or a value has the wrong type.
@@ -213,7 +214,7 @@
     },
 }
 
-/// Reads settings from JSON. Keys that are missing have their defaults; unknown keys are ignored.
+/// Reads settings from JSON. Missing keys get their defaults; unknown keys are ignored.
 ///
 /// # Errors
 /// If the text is not valid JSON of that form or a class has an unknown effect.
@@ -277,7 +278,7 @@
     })
 }
 
-/// The origin's machine kind, where servers do not fetch for themselves.
+/// The machine kind of the origin, if cache servers do not fetch for themselves.
 fn origin_kind(specifics: &WireSpecifics) -> Option<u16> {
     if specifics.mode == "aside" {
         u16::try_from(specifics.origin_kind).ok()
