--- a/crates/routing-policy/tests/admission.rs
+++ b/crates/routing-policy/tests/admission.rs
@@ -13,43 +13,43 @@
 
 #[test]
 fn a_clients_retry_has_the_rest_of_its_objective_and_a_late_one_is_rejected_at_once() {
-    // Found on calm+mass: a fifth of what the servers were sent was for retries whose answer earned nothing,
-    // as the objective counts from the first try. Deadline 1.5 s, objective 0.75 s; most tries have 1.2 s
-    // left.
-    let try_for = |id, left: u64| Request {
+    // Scenario calm+mass: a fifth of the requests sent to servers were retries whose answers were worthless,
+    // because the objective counts from the first try. Here the deadline is 1.5 s and the objective 0.75 s;
+    // most tries have 1.2 s left.
+    let read_with_time_left = |id, left: u64| Request {
         remaining_deadline: left * MS,
         ..read(id, id)
     };
-    let usual = |router: &mut Router, ids: std::ops::RangeInclusive<u64>, left| {
+    let serve_reads = |router: &mut Router, ids: std::ops::RangeInclusive<u64>, left| {
         for id in ids {
-            let server = sent_to(&router.request(try_for(id, left))).expect("sent");
+            let server = sent_to(&router.request(read_with_time_left(id, left))).expect("sent");
             router.outcome(id, 0, server, AttemptStatus::Served);
         }
     };
-    let mut quiet = Router::new(settings(), 4);
-    usual(&mut quiet, 1..=20, 1200);
+    let mut unloaded_router = Router::new(settings(), 4);
+    serve_reads(&mut unloaded_router, 1..=20, 1200);
     assert_eq!(
-        sends(&quiet.request(try_for(21, 600))),
+        sends(&unloaded_router.request(read_with_time_left(21, 600))),
         1,
         "late, but there is no overload"
     );
     let mut router = Router::just_started(settings(), 4);
-    usual(&mut router, 1..=1, 600); // Nothing is known of the usual deadline yet.
-    usual(&mut router, 2..=20, 1200);
-    usual(&mut router, 22..=22, 1198); // The way took a little.
+    serve_reads(&mut router, 1..=1, 600); // Nothing is known of the usual deadline yet.
+    serve_reads(&mut router, 2..=20, 1200);
+    serve_reads(&mut router, 22..=22, 1198); // The network took a little of the time.
     assert!(
-        rejected(&router.request(try_for(23, 600)), 23),
+        rejected(&router.request(read_with_time_left(23, 600)), 23),
         "its first try was 900 ms ago"
     );
     assert_eq!(
-        sends(&router.request(try_for(24, 900))),
+        sends(&router.request(read_with_time_left(24, 900))),
         1,
-        "150 ms are left of its objective"
+        "150 ms of its objective are left"
     );
     assert_eq!(
-        sends(&router.request(try_for(25, 1400))),
+        sends(&router.request(read_with_time_left(25, 1400))),
         1,
-        "and 650 ms of this one's"
+        "650 ms of its objective are left"
     );
     assert!(!rejected(&router.advance(140 * MS), 24));
     assert!(rejected(&router.advance(15 * MS), 24));
@@ -62,17 +62,17 @@
     assert_eq!(
         sends(&router.request(late)),
         1,
-        "a write has its effect, late or not"
+        "a write takes effect even if it is late"
     );
     let mut rejections = 0;
     for id in 31..=60 {
-        let answer = router.request(try_for(id, 600));
+        let answer = router.request(read_with_time_left(id, 600));
         rejections += usize::from(rejected(&answer, id));
         sent_to(&answer).map(|server| router.outcome(id, 0, server, AttemptStatus::Served));
     }
     assert!(
         rejections < 20,
-        "{rejections}: then most clients have so long"
+        "{rejections} rejected: by then this is the usual remaining deadline"
     );
 }
 
@@ -81,7 +81,7 @@
     let mut config = settings();
     config.tenants = vec![Tenant { quota_per_s: 50.0 }, Tenant { quota_per_s: 50.0 }];
     let mut router = Router::new(config, 20);
-    let (mut served, mut asked) = ([0, 0], [0, 0]);
+    let (mut served, mut requested) = ([0, 0], [0, 0]);
     for id in 1..=3000u64 {
         router.advance(5 * MS);
         let tenant = usize::from(id % 6 == 0);
@@ -90,7 +90,7 @@
             ..read(id, id)
         });
         if id > 1000 {
-            asked[tenant] += 1;
+            requested[tenant] += 1;
             served[tenant] += sends(&answer);
         }
         let (status, to) = (
@@ -109,22 +109,22 @@
         }
     }
     assert!(
-        served[1] * 100 >= asked[1] * 98,
+        served[1] * 100 >= requested[1] * 98,
         "within its quota: {} of {}",
         served[1],
-        asked[1]
+        requested[1]
     );
     assert!(
-        served[0] * 2 < asked[0],
+        served[0] * 2 < requested[0],
         "at three times its quota: {} of {}",
         served[0],
-        asked[0]
+        requested[0]
     );
 }
 
 #[test]
 fn one_of_many_routers_admits_a_tenant_within_its_quota_and_limits_one_three_times_over_it() {
-    // Found at 515 routers: a rate scaled up from one request a second rejected tenants within quotas.
+    // With 515 routers, a rate extrapolated from one request a second rejected tenants within their quotas.
     let config = Settings {
         balancer_count: 500,
         tenants: vec![Tenant { quota_per_s: 500.0 }, Tenant { quota_per_s: 500.0 }],
@@ -132,7 +132,7 @@
         ..settings()
     };
     let mut router = Router::just_started(config, 70);
-    let (mut sent, mut asked) = ([0, 0], [0, 0]);
+    let (mut sent, mut requested) = ([0, 0], [0, 0]);
     for id in 1..=400u64 {
         router.advance(250 * MS);
         let tenant = usize::from(id % 6 == 0); // 3.3 a second of the first, 0.67 of the other, quota 1 each.
@@ -140,26 +140,25 @@
             tenant,
             ..read(id, id)
         });
-        (asked[tenant], sent[tenant]) = (asked[tenant] + 1, sent[tenant] + sends(&answer));
+        (requested[tenant], sent[tenant]) = (requested[tenant] + 1, sent[tenant] + sends(&answer));
         if let Some(to) = sent_to(&answer) {
-            router.advance(650 * MS * u64::from(id % 5 == 0)); // One in five nearly late: some overload.
+            router.advance(650 * MS * u64::from(id % 5 == 0)); // One in five is nearly late: some overload.
             router.outcome(id, 0, to, AttemptStatus::Served);
         }
     }
     assert!(
-        sent[1] * 100 >= asked[1] * 95,
-        "within its quota: {sent:?} of {asked:?}"
+        sent[1] * 100 >= requested[1] * 95,
+        "within its quota: {sent:?} of {requested:?}"
     );
     assert!(
-        sent[0] * 10 < asked[0] * 8,
-        "over its quota: {sent:?} of {asked:?}"
+        sent[0] * 10 < requested[0] * 8,
+        "over its quota: {sent:?} of {requested:?}"
     );
 }
 
 #[test]
 fn saved_tokens_do_not_keep_an_overload_going() {
-    // Incident i291613: full buckets at 1,499 routers were 15 s of traffic with the quota multiplier at its
-    // floor.
+    // Incident i291613: full buckets at 1,499 routers held 15 s of traffic at the lowest quota multiplier.
     let mut config = Settings {
         balancer_count: 1000,
         may_hedge: false,
@@ -173,7 +172,7 @@
         sent.push(sends(&router.request(Request {
             tenant: id as usize % 9,
             ..read(id, id)
-        }))); // None answers.
+        }))); // No server answers.
     }
     let (early, late) = (
         sent[..10].iter().sum::<usize>(),
--- a/crates/routing-policy/tests/attempts.rs
+++ b/crates/routing-policy/tests/attempts.rs
@@ -34,7 +34,7 @@
     assert_eq!(
         sends(&router.advance(100 * MS)),
         1,
-        "rejected unseen: may be retried"
+        "rejected before execution: may be retried"
     );
     let answer = router.outcome(1, 1, ORIGIN, AttemptStatus::Reset);
     assert!(
@@ -45,7 +45,8 @@
 
 #[test]
 fn reads_whose_connections_break_early_are_all_retried_and_late_ones_on_a_budget() {
-    // Found on a day of resets: the budget for retries under load was spent, and reads were rejected.
+    // When many connections were reset, the retry budget, which is meant for load, was spent, and reads were
+    // rejected.
     let retried = |after: Micros| {
         let mut router = Router::new(
             Settings {
@@ -54,26 +55,27 @@
             },
             12,
         );
-        let again = |id| {
+        let retry_target = |id| {
             let to = sent_to(&router.request(read(id, id))).unwrap();
             router.advance(after);
             let next = sent_to(&router.outcome(id, 0, to, AttemptStatus::Reset));
             next.inspect(|next| drop(router.outcome(id, 1, *next, AttemptStatus::Served)))
         };
-        (1..=60).filter_map(again).count()
+        (1..=60).filter_map(retry_target).count()
     };
     assert_eq!(retried(20 * MS), 60);
     assert!(
         retried(500 * MS) < 20,
-        "{} of 60 that may still run",
+        "{} of 60 that may still be running",
         retried(500 * MS)
     );
 }
 
 #[test]
 fn reads_that_fail_early_are_all_retried_and_late_ones_on_a_budget() {
-    // Found on the fleet days: ten bad servers failed a quarter of their reads at once, more than the budget
-    // for retries of what may still run, and nineteen in twenty of those were rejected.
+    // In large simulated fleets, ten bad servers failed a quarter of their reads at once. That was more than
+    // the budget for retries of attempts that may still be running, and nineteen in twenty of these reads were
+    // rejected.
     let mut router = Router::new(
         Settings {
             may_hedge: false,
@@ -81,7 +83,7 @@
         },
         4,
     );
-    let ask = |router: &mut Router, id: u64, after: Micros| {
+    let is_retried = |router: &mut Router, id: u64, after: Micros| {
         let first = sent_to(&router.request(read(id, id))).unwrap();
         router.advance(after);
         let next = sent_to(&router.outcome(id, 0, first, AttemptStatus::Error));
@@ -89,17 +91,20 @@
             .for_each(|next| drop(router.outcome(id, 1, next, AttemptStatus::Served)));
         next.is_some()
     };
-    assert!((1..=40).all(|id| ask(&mut router, id, MS)), "each goes on");
+    assert!(
+        (1..=40).all(|id| is_retried(&mut router, id, MS)),
+        "each is retried"
+    );
     let late = (51..=90)
-        .filter(|id| ask(&mut router, *id, 310 * MS))
+        .filter(|id| is_retried(&mut router, *id, 310 * MS))
         .count();
-    assert!(late <= 15, "{late} of 40 that failed late go on");
+    assert!(late <= 15, "{late} of 40 that failed late are retried");
 }
 
 #[test]
 fn a_slow_read_is_hedged_and_the_losing_attempt_is_cancelled() {
-    // One of 500 routers visits a slow server once in 20 s: it cannot learn to avoid it, only not wait for
-    // it.
+    // One of 500 routers visits a slow server once in 20 s. That is too rare to learn to avoid the server, so
+    // the router hedges instead.
     let mut router = Router::new(
         Settings {
             may_cancel: true,
@@ -133,9 +138,9 @@
 
 #[test]
 fn idle_connections_are_closed_where_many_routers_make_them_cost_more_than_handshakes() {
-    // Found at 413 routers before connection tables of 75: four in five attempts got no connection.
+    // With 413 routers and connection tables of 75 entries, four in five attempts got no connection.
     let closes = |routers| {
-        let prices = Settings {
+        let costly_connections = Settings {
             connection_cost: 0.03,
             handshake_cost: 0.03,
             ..settings()
@@ -143,7 +148,7 @@
         let mut router = Router::new(
             Settings {
                 balancer_count: routers,
-                ..prices
+                ..costly_connections
             },
             3,
         );
@@ -163,7 +168,7 @@
         balancer_count: 400,
         ..settings()
     };
-    let goes_on = |status| {
+    let is_retried = |status| {
         let mut router = Router::new(costly_connections.clone(), 4);
         let not_idempotent = Request {
             class: 2,
@@ -172,14 +177,14 @@
         let first = sent_to(&router.request(not_idempotent)).unwrap();
         sends(&router.outcome(1, 0, first, status)) == 1
     };
-    assert!(goes_on(AttemptStatus::NotSent));
-    assert!(!goes_on(AttemptStatus::Reset), "it may have run");
+    assert!(is_retried(AttemptStatus::NotSent));
+    assert!(!is_retried(AttemptStatus::Reset), "it may have run");
 }
 
 #[test]
 fn the_wait_for_a_connection_is_no_sign_of_overload_and_a_slow_answer_is() {
-    // The keys that go to server 1 first, of many, after some attempts at it that had their answer late.
-    let keys_left_after = |connecting: bool| {
+    // Counts the keys that still go to server 1 first, of 20 that did, after ten late answers.
+    let keys_kept_after = |connecting: bool| {
         let mut router = Router::new(
             Settings {
                 may_hedge: false,
@@ -215,10 +220,10 @@
             .filter(|key| first_choice(&mut router, **key) == 1)
             .count()
     };
-    assert_eq!(keys_left_after(true), 20, "it keeps all of its keys");
+    assert_eq!(keys_kept_after(true), 20, "it keeps all of its keys");
     assert!(
-        keys_left_after(false) < 20,
-        "one that answers so late is left fewer"
+        keys_kept_after(false) < 20,
+        "a server that answers so late keeps fewer"
     );
 }
 
--- a/crates/routing-policy/tests/endpoints.rs
+++ b/crates/routing-policy/tests/endpoints.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_silent_watch_is_opened_anew_at_once() {
+fn a_stalled_watch_is_reopened_at_once() {
     let mut router = Router::new(
         Settings {
             poll_discovery: true,
@@ -121,10 +121,10 @@
 
 #[test]
 fn many_routers_leave_discovery_time_between_calls_from_the_first_failure_on() {
-    // Found on the fleet days: 70 that restarted together called again within a second of each failure, and
-    // the calls that waited in vain kept 65 of them without a list until the day ended. The longest backoff
-    // at once left one of 208 on herd+mass, seed 11, without notice of a drain for 5.8 s; it counts as
-    // notified after 6 s.
+    // In large simulated fleets, 70 routers that restarted together called again within a second of each
+    // failure. The calls that timed out kept 65 of them without a list until the run ended. With the longest
+    // backoff from the start, one of 208 routers (scenario herd+mass, seed 11) was not notified of a drain for
+    // 5.8 s; a router counts as notified after 6 s.
     let backoff = |routers: u32, failures: usize, seed: u64| {
         let config = Settings {
             poll_discovery: true,
@@ -133,24 +133,25 @@
             ..settings()
         };
         let mut router = Router::seeded(config, 3, seed);
-        let mut again = || {
+        let mut next_call = || {
             router.list(ListUpdate::Failed, Vec::new());
             (1..400)
                 .find(|_| router.advance(10 * MS).contains(&Action::Subscribe(true)))
                 .expect("calls again")
         };
-        (0..failures).map(|_| again()).last().unwrap()
+        (0..failures).map(|_| next_call()).last().unwrap()
     };
     assert!(
         (1..=20).all(|seed| backoff(5, 1, seed) <= 94),
-        "few call again within a second"
+        "few routers call again within a second"
     );
     assert!(
         (1..=20).all(|seed| (62..=188).contains(&backoff(100, 1, seed))),
         "there is time for a second call"
     );
     let backoffs: Vec<_> = (1..=20).map(|seed| backoff(100, 2, seed)).collect();
-    // Not 3.76 s any more: a change counts as notified 6 s after it could be had, whatever failed before.
+    // Below the former 3.76 s: a change counts as notified 6 s after it became available, whatever failed
+    // before.
     assert!(
         backoffs.iter().all(|backoff| (78..=241).contains(backoff)),
         "{backoffs:?}"
@@ -163,7 +164,7 @@
 
 #[test]
 fn discovery_is_called_again_in_time_however_long_the_notification_period() {
-    // A call that failed may have waited two seconds; a quarter of the six is to spare.
+    // The failed call may have taken two seconds, and a quarter of the six seconds is kept as a margin.
     struct Case {
         routers: u32,
         notified_within: Micros,
--- a/crates/routing-policy/tests/origin_limiter.rs
+++ b/crates/routing-policy/tests/origin_limiter.rs
@@ -1,4 +1,4 @@
-//! Calls to the origin: outstanding cap, windowed tally, deferral, congestion.
+//! Calls to the origin: cap on outstanding calls, limit per window, deferral, congestion.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -32,12 +32,12 @@
         },
         3,
     );
-    let mut through = 0;
+    let mut sent = 0;
     for id in 1..=20 {
-        through += sends(&router.request(write(id, 1)));
+        sent += sends(&router.request(write(id, 1)));
     }
     assert_eq!(
-        through, 10,
+        sent, 10,
         "a router just started sends half of its twenty calls"
     );
     let answers = router.outcome(1, 0, ORIGIN, AttemptStatus::Served);
@@ -45,7 +45,7 @@
     assert_eq!(
         sends(&router.advance(8 * MS)),
         1,
-        "an outcome lowers the counter and one more call goes"
+        "an outcome lowers the count, and one more call is sent"
     );
     let later = router.advance(SECOND);
     let rejections = (11..=20).filter(|id| rejected(&later, *id)).count();
@@ -53,24 +53,24 @@
 }
 
 #[test]
-fn the_windowed_tally_limits_calls_that_are_within_the_outstanding_cap() {
+fn the_window_limits_calls_that_are_within_the_outstanding_cap() {
     let mut config = settings();
     config.tenants = vec![Tenant { quota_per_s: 40.0 }];
     config.balancer_count = 1;
     let mut router = Router::new(config, 3);
-    let mut through = 0;
+    let mut sent = 0;
     for id in 1..=12 {
-        through += sends(&router.request(write(id, 2)));
+        sent += sends(&router.request(write(id, 2)));
         router.outcome(id, 0, ORIGIN, AttemptStatus::Served);
     }
     assert_eq!(
-        through, 7,
-        "in a quarter of the longest objective, 187 ms, 7.5 of 40 a second"
+        sent, 7,
+        "in a quarter of the longest objective, 187 ms, 7.5 calls at 40 per second"
     );
 }
 
 #[test]
-fn the_tally_admits_the_whole_quota_when_most_reads_miss() {
+fn the_window_limit_admits_the_whole_quota_when_most_reads_miss() {
     let mut config = settings();
     config.tenants = vec![Tenant { quota_per_s: 100.0 }];
     let mut router = Router::new(config, 3);
@@ -84,7 +84,7 @@
     }
     assert!(
         fetched >= 95,
-        "six in ten of the quota a second, {fetched} of 100 fetched"
+        "at six tenths of the quota, {fetched} of 100 fetched"
     );
 }
 
@@ -128,7 +128,7 @@
     let burst = (100..120)
         .map(|id| sends(&router.request(write(id, 1))))
         .sum::<usize>();
-    assert_eq!(burst, 2, "the floor of a tenth of the ceiling");
+    assert_eq!(burst, 2, "the lowest cap is a tenth of the ceiling");
     let mut router = lowered();
     for id in 100..190 {
         router.advance(50 * MS);
@@ -144,41 +144,41 @@
 }
 
 #[test]
-fn many_routers_share_the_cap_so_that_the_origin_can_take_the_sum() {
-    // Found on the fleet days: a hundred routers at a floor of two calls each had 200 in flight at an origin
-    // that answers 30 at a time well, and nine in ten were cancelled before their answer.
-    let (quick, most) = fetched(100, 1000, 40 * MS, 50 * MS);
-    assert!(most <= 2, "{most} in flight at once");
+fn many_routers_share_the_cap_so_that_the_origin_can_handle_all_their_calls() {
+    // In large simulated fleets, a hundred routers with at least two calls each had 200 calls in flight at an
+    // origin that answers 30 at a time well. Nine in ten were cancelled before their answer.
+    let (from_fast_origin, max_in_flight) = fetched(100, 1000, 40 * MS, 50 * MS);
+    assert!(max_in_flight <= 2, "{max_in_flight} in flight at once");
     assert!(
-        (80..=400).contains(&quick),
-        "{quick} in 20 s: two may be in flight at a time"
+        (80..=400).contains(&from_fast_origin),
+        "{from_fast_origin} in 20 s: two may be in flight at once"
     );
-    let (slow, _) = fetched(100, 1000, 40 * MS, 200 * MS);
+    let (from_slow_origin, _) = fetched(100, 1000, 40 * MS, 200 * MS);
     assert!(
-        (1..=30).contains(&slow),
-        "{slow} in 20 s at the floor: a fifth of the time one is in flight"
+        (1..=30).contains(&from_slow_origin),
+        "{from_slow_origin} in 20 s at the lowest cap: one is in flight for a fifth of the time"
     );
 }
 
 #[test]
 fn a_router_with_more_clients_has_a_larger_share_of_the_cap_while_the_origin_answers_in_time() {
-    // Found on calm+mass: 50 of 300 routers, with several times the mean of requests, rejected a fifth of
-    // them as they had one call in flight at a time each, while the origin answered all within 30 ms.
-    let (many, most) = fetched(300, 2000, 10 * MS, 30 * MS);
+    // Scenario calm+mass: 50 of 300 routers had several times the mean number of requests. Limited to one call
+    // in flight each, they rejected a fifth of them, while the origin answered all calls within 30 ms.
+    let (at_high_rate, max_in_flight) = fetched(300, 2000, 10 * MS, 30 * MS);
     assert!(
-        many >= 650,
-        "{many} of 1000: all but the part that the tally leaves to writes"
+        at_high_rate >= 650,
+        "{at_high_rate} of 1000: all but the part of the window limit that is reserved for writes"
     );
-    assert!(most >= 3, "{most} in flight at once");
-    let (few, most) = fetched(300, 400, 100 * MS, 30 * MS);
+    assert!(max_in_flight >= 3, "{max_in_flight} in flight at once");
+    let (at_low_rate, max_in_flight) = fetched(300, 400, 100 * MS, 30 * MS);
     assert!(
-        few >= 130 && most == 1,
-        "{few} of 200, {most} in flight at once: an equal share is enough for a tenth"
+        at_low_rate >= 130 && max_in_flight == 1,
+        "{at_low_rate} of 200, {max_in_flight} in flight at once: an equal share is enough for a tenth of the rate"
     );
-    let (slow, _) = fetched(300, 2000, 10 * MS, 200 * MS);
+    let (from_slow_origin, _) = fetched(300, 2000, 10 * MS, 200 * MS);
     assert!(
-        (1..=40).contains(&slow),
-        "{slow} in 10 s: a slow origin takes no more from it than from others"
+        (1..=40).contains(&from_slow_origin),
+        "{from_slow_origin} in 10 s: with a slow origin it has no more than an equal share"
     );
 }
 
@@ -203,8 +203,8 @@
 
 #[test]
 fn no_fetch_is_made_that_cannot_be_answered_in_time_until_the_origin_may_be_faster() {
-    // Found on the fleet days: a third of the origin's calls was made for requests with less time left than
-    // it takes to answer; they were cancelled, and nothing was stored for the next.
+    // In large simulated fleets, a third of the origin's calls were for requests with less time left than the
+    // origin takes to answer. They were cancelled, and no value was stored for later requests.
     let mut router = Router::new(
         Settings {
             may_hedge: false,
@@ -228,7 +228,7 @@
     );
     let [seven, eight] = [7, 8].map(|id| sent_to(&router.request(read(id, id))).unwrap());
     router.advance(480 * MS);
-    (101..=140).for_each(|id| drop(router.request(write(id, 1)))); // They fill the limiter.
+    (101..=140).for_each(|id| drop(router.request(write(id, 1)))); // They bring the limiter to capacity.
     router.advance(20 * MS);
     assert!(
         !rejected(&router.outcome(7, 0, seven, AttemptStatus::Miss), 7),
@@ -239,7 +239,7 @@
         rejected(&router.outcome(8, 0, eight, AttemptStatus::Miss), 8),
         "150 ms are too little; it is rejected at once"
     );
-    let late = (0..60u64).find(|round| {
+    let allowed_again = (0..60u64).find(|round| {
         let id = 1000 + round * 100;
         let first = sent_to(&router.request(read(id, id))).unwrap();
         router.advance(580 * MS);
@@ -247,7 +247,10 @@
         router.advance(20 * MS);
         !rejected(&router.outcome(id, 0, first, AttemptStatus::Miss), id)
     });
-    assert!(late.is_some(), "it does not go by an old figure for ever");
+    assert!(
+        allowed_again.is_some(),
+        "an old measurement does not prevent fetches for ever"
+    );
 }
 
 /// A fetch in flight and when the origin answers it.
@@ -256,9 +259,9 @@
     answered_at: Micros,
 }
 
-/// Sends reads that all miss, one in each span of time, to one of many routers, before an origin that takes
-/// so long for each fetch. Returns the fetches in the second half and the most that were in flight at once.
-fn fetched(routers: u32, reads: u64, every: Micros, takes: Micros) -> (usize, usize) {
+/// Sends reads that all miss to one of many routers, one per interval; the origin answers a fetch after
+/// `fetch_time`. Returns the number of fetches in the second half, and the most that were in flight at once.
+fn fetched(routers: u32, reads: u64, interval: Micros, fetch_time: Micros) -> (usize, usize) {
     let mut router = Router::new(
         Settings {
             balancer_count: routers,
@@ -267,11 +270,11 @@
         3,
     );
     let mut in_flight: Vec<Fetch> = Vec::new();
-    let (mut most, mut sent) = (0, 0);
+    let (mut max_in_flight, mut sent) = (0, 0);
     for id in 1..=reads {
         let first = sent_to(&router.request(read(id, id))).unwrap();
         let mut actions = router.outcome(id, 0, first, AttemptStatus::Miss);
-        for _ in 0..every / (10 * MS) {
+        for _ in 0..interval / (10 * MS) {
             actions.extend(router.advance(10 * MS));
             for action in actions.drain(..) {
                 if let Action::Send {
@@ -282,17 +285,17 @@
                 {
                     in_flight.push(Fetch {
                         request,
-                        answered_at: router.now + takes,
+                        answered_at: router.now + fetch_time,
                     });
                     sent += usize::from(id > reads / 2);
                 }
             }
-            most = most.max(in_flight.len());
+            max_in_flight = max_in_flight.max(in_flight.len());
             while let Some(at) = in_flight.iter().position(|f| f.answered_at <= router.now) {
                 let fetch = in_flight.remove(at);
                 actions.extend(router.outcome(fetch.request, 1, ORIGIN, AttemptStatus::Served));
             }
         }
     }
-    (sent, most)
+    (sent, max_in_flight)
 }
--- a/crates/routing-policy/tests/outlier.rs
+++ b/crates/routing-policy/tests/outlier.rs
@@ -1,4 +1,4 @@
-//! Ejection of servers that fail, and their return.
+//! Ejection of servers that fail, and their readmission.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -74,13 +74,14 @@
     }
     assert!(
         sent_to(&router.request(read(100, 3))).is_some(),
-        "still tried, the cause is shared"
+        "still tried, since the cause is shared"
     );
 }
 
 #[test]
 fn a_server_that_refused_connections_and_answers_again_is_presumed_restarted() {
-    // Found on a crash day: the list learns of the new process seconds after it takes requests.
+    // When servers crashed, the endpoint list showed the new process only seconds after it had begun to take
+    // requests.
     let mut router = Router::new(settings(), 4);
     let victim = sent_to(&router.request(read(1, 9))).unwrap();
     for id in 1..=3 {
@@ -109,18 +110,18 @@
 
 #[test]
 fn a_server_whose_connections_break_is_not_presumed_restarted() {
-    // Found on a day of resets: one lost connection, however long ago, cost a server its keys for its
-    // warm-up.
+    // When connections were reset, a single lost connection, however long ago, took a server's keys away for
+    // its whole warm-up period.
     let mut router = Router::new(settings(), 4);
     let mut victim = 0;
-    let fates = [
+    let statuses = [
         AttemptStatus::ConnectFailed,
         AttemptStatus::Served,
         AttemptStatus::Reset,
         AttemptStatus::Reset,
         AttemptStatus::Reset,
     ];
-    for (id, status) in (1..).zip(fates) {
+    for (id, status) in (1..).zip(statuses) {
         victim = sent_to(&router.request(read(id, 9))).unwrap();
         if let Some(next) = sent_to(&router.outcome(id, 0, victim, status)) {
             router.outcome(id, 1, next, AttemptStatus::Served);
@@ -138,13 +139,13 @@
     }
     assert!(
         at_victim >= 30,
-        "its part of the keys: {at_victim} of about 50"
+        "its share of the keys: {at_victim} of about 50"
     );
 }
 
 #[test]
 fn a_server_that_fails_each_request_at_once_is_ejected() {
-    // Found on incident i0f0c3e: quick errors made a server look idle, and it drew ever more requests.
+    // Incident i0f0c3e: fast errors made a server look idle, and it got ever more requests.
     let mut router = Router::new(settings(), 4);
     let victim = sent_to(&router.request(read(1, 9))).unwrap();
     for id in 1..=8 {
@@ -186,9 +187,9 @@
 
 #[test]
 fn one_of_many_routers_ejects_a_server_that_refused_one_connection_until_its_next_visit() {
-    // Found on the fleet days: while the list was late, each of 32 routers tried each of 40 servers that were
-    // gone again and again: three refused connections ejected one, for less time than passes between two
-    // attempts there.
+    // In large simulated fleets, an outdated list made each of 32 routers try each of 40 removed servers again
+    // and again. Three refused connections ejected a server, for less time than passes between two attempts
+    // there.
     let attempts_there = |routers: u32| {
         let mut router = Router::new(
             Settings {
@@ -216,12 +217,12 @@
     };
     assert!(
         (2..=8).contains(&attempts_there(5)),
-        "{} of 5 routers in 20 s",
+        "{} attempts by one of 5 routers in 20 s",
         attempts_there(5)
     );
     assert!(
         (1..=2).contains(&attempts_there(100)),
-        "{} of 100 routers in 20 s",
+        "{} attempts by one of 100 routers in 20 s",
         attempts_there(100)
     );
 }
@@ -241,6 +242,6 @@
     }
     assert!(
         at_victim >= 30,
-        "its part of the keys: {at_victim} of about 50"
+        "its share of the keys: {at_victim} of about 50"
     );
 }
--- a/crates/routing-policy/tests/overload.rs
+++ b/crates/routing-policy/tests/overload.rs
@@ -1,4 +1,4 @@
-//! Signs of overload, and the keys and requests that are shed for them.
+//! Overload signals, and the keys and requests that are shed in response.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -14,9 +14,9 @@
 use routing_policy::*;
 
 #[test]
-fn a_server_that_answers_late_is_left_fewer_keys_and_has_all_again_when_it_keeps_up() {
-    // Found on r8880: servers of a third of the others' speed had as many keys, and were overloaded beside
-    // idle ones.
+fn a_server_that_answers_late_keeps_fewer_keys_and_gets_all_back_when_it_keeps_up() {
+    // Case r8880: servers with a third of the others' speed had as many keys, and were overloaded next to idle
+    // ones.
     let mut router = Router::new(
         Settings {
             may_hedge: false,
@@ -27,7 +27,7 @@
     let all = keys_at(&mut router, 1000, 1, MS);
     assert!(
         (30..70).contains(&all.len()),
-        "its part while it keeps up: {}",
+        "its share of the keys while it keeps up: {}",
         all.len()
     );
     keys_at(&mut router, 2000, 1, 700 * MS);
@@ -38,7 +38,10 @@
         fewer.len(),
         all.len()
     );
-    assert!(fewer.iter().all(|key| all.contains(key)), "of its own keys");
+    assert!(
+        fewer.iter().all(|key| all.contains(key)),
+        "a subset of its keys"
+    );
     for round in 4..12 {
         keys_at(&mut router, round * 1000, 1, MS);
     }
@@ -51,8 +54,9 @@
 
 #[test]
 fn a_server_that_is_rarely_late_keeps_its_keys_and_one_that_is_often_late_keeps_few() {
-    // Found on the sixth day of the score: small servers were left with what they were late with by a third.
-    let kept = |every: usize| {
+    // In a scored simulation run, small servers kept more keys than they could serve: they were late with a
+    // third of them.
+    let attempts_kept = |every: usize| {
         let mut router = Router::new(
             Settings {
                 may_hedge: false,
@@ -60,27 +64,27 @@
             },
             4,
         );
-        let (mut there, mut at_victim) = (0, 0);
+        let (mut final_attempts, mut at_victim) = (0, 0);
         for id in 1..=6000 {
             let to = sent_to(&router.request(read(id, id % 200 + 1))).unwrap();
             at_victim += usize::from(to == 1);
             let late = to == 1 && at_victim % every == 0;
             router.advance(if late { 700 * MS } else { MS });
             router.outcome(id, 0, to, AttemptStatus::Served);
-            there += usize::from(to == 1 && id > 4000);
+            final_attempts += usize::from(to == 1 && id > 4000);
         }
-        there
+        final_attempts
     };
-    let all = kept(usize::MAX);
+    let all = attempts_kept(usize::MAX);
     assert!(
-        kept(40) * 10 >= all * 8,
+        attempts_kept(40) * 10 >= all * 8,
         "{} of {all} when one in forty is late",
-        kept(40)
+        attempts_kept(40)
     );
     assert!(
-        kept(5) * 10 <= all * 3,
+        attempts_kept(5) * 10 <= all * 3,
         "{} of {all} when one in five is late",
-        kept(5)
+        attempts_kept(5)
     );
 }
 
@@ -101,8 +105,8 @@
 
 #[test]
 fn one_of_many_routers_learns_of_weak_servers_by_their_machine_kind() {
-    // Found on the fleet days: one of a hundred sends each of 60 servers an attempt in four seconds, and 41
-    // small servers were sent three times what they could do all day long.
+    // In large simulated fleets, one of a hundred routers sends each of 60 servers an attempt every four
+    // seconds. 41 small servers were sent three times what they could take, for the whole run.
     let mut router = Router::new(
         Settings {
             may_hedge: false,
@@ -116,36 +120,36 @@
         ..server(id)
     });
     router.list(ListUpdate::Full, fleet.chain([origin()]).collect());
-    let mut weak = |ids: std::ops::RangeInclusive<u64>| {
-        let ask = |id: &u64| {
+    let mut attempts_at_weak = |ids: std::ops::RangeInclusive<u64>| {
+        let send_read = |id: &u64| {
             let to = sent_to(&router.request(read(*id, *id))).unwrap();
             router.advance(if to % 2 == 1 { 700 * MS } else { MS });
             router.outcome(*id, 0, to, AttemptStatus::Served);
             to % 2 == 1
         };
-        ids.filter(ask).count()
+        ids.filter(send_read).count()
     };
-    let early = weak(1..=30);
+    let early = attempts_at_weak(1..=30);
     assert!(
         (8..=20).contains(&early),
-        "{early} of 30 before it was known"
+        "{early} of 30 before the kind was known to be slow"
     );
-    // Seventy routers that restart together overloaded them for two seconds, while it was learnt in small
-    // steps.
-    let soon = weak(31..=90);
+    // While this was learnt in small steps, seventy routers that restarted together overloaded the small
+    // servers for two seconds.
+    let after_first_visits = attempts_at_weak(31..=90);
     assert!(
-        soon <= 7,
-        "{soon} of 60 after half of the weak ones were visited once"
+        after_first_visits <= 7,
+        "{after_first_visits} of 60 after half of the weak servers were visited once"
     );
-    let late = weak(91..=190);
+    let late = attempts_at_weak(91..=190);
     assert!((1..=25).contains(&late), "{late} of 100 later");
 }
 
 #[test]
-fn one_of_many_routers_spares_a_late_server_after_a_few_attempts() {
-    // Found on the fleet days: a bad server of a good kind was sent three times what it could do for seconds
-    // on end, as one of a hundred routers needs ten attempts there to know it and makes one in four seconds.
-    let there = |routers: u32| {
+fn one_of_many_routers_sends_less_to_a_late_server_after_a_few_attempts() {
+    // In large simulated fleets, a slow server of a fast kind was sent three times what it could take for many
+    // seconds: one of a hundred routers needs ten attempts to detect it, and sends one in four seconds.
+    let attempts_at_victim = |routers: u32| {
         let mut router = Router::new(
             Settings {
                 may_hedge: false,
@@ -154,33 +158,36 @@
             },
             4,
         );
-        let mut ask = |id: u64, victim_takes: Micros| {
+        let mut send_read = |id: u64, victim_takes: Micros| {
             let to = sent_to(&router.request(read(id, id))).unwrap();
             router.advance(if to == 1 { victim_takes } else { MS });
             router.outcome(id, 0, to, AttemptStatus::Served);
             to == 1
         };
-        (1..).filter(|id| ask(*id, 700 * MS)).take(3).for_each(drop);
-        (1001..=1060).filter(|id| ask(*id, MS)).count()
+        (1..)
+            .filter(|id| send_read(*id, 700 * MS))
+            .take(3)
+            .for_each(drop);
+        (1001..=1060).filter(|id| send_read(*id, MS)).count()
     };
     assert!(
-        (7..=20).contains(&there(5)),
+        (7..=20).contains(&attempts_at_victim(5)),
         "{} of 60 after three late answers to one of 5",
-        there(5)
+        attempts_at_victim(5)
     );
     assert!(
-        there(100) <= 4,
+        attempts_at_victim(100) <= 4,
         "{} of 60 after three late answers to one of 100",
-        there(100)
+        attempts_at_victim(100)
     );
 }
 
 #[test]
 fn routers_that_find_a_server_full_route_the_same_keys_past_it() {
-    let keys_left = |rejections: RequestId| {
+    let keys_kept = |rejections: RequestId| {
         let mut router = Router::new(settings(), 4);
         for id in 1..=rejections {
-            // A key of its own each: what is routed past it already goes elsewhere.
+            // Each request has its own key: keys that are routed past the server already go elsewhere.
             let to = sent_to(&router.request(read(id, id))).unwrap();
             let next = if to == 1 {
                 sent_to(&router.outcome(id, 0, 1, AttemptStatus::Rejected))
@@ -196,7 +203,7 @@
         }
         keys_at(&mut router, 1000, 1, MS)
     };
-    let [all, many, few] = [0, 20, 40].map(keys_left);
+    let [all, many, few] = [0, 20, 40].map(keys_kept);
     assert!(
         few.len() < many.len() && many.len() < all.len(),
         "{few:?} {many:?} {all:?}"
@@ -209,7 +216,7 @@
 
 #[test]
 fn a_fleet_many_times_too_slow_is_sent_less_than_half_of_the_quotas() {
-    // Incident i4dbf06: every server eight times slower; 0.6 of the quotas kept the fleet overloaded.
+    // Incident i4dbf06: every server was eight times slower; 0.6 of the quotas kept the fleet overloaded.
     let mut config = settings();
     config.tenants = vec![Tenant { quota_per_s: 50.0 }];
     let mut router = Router::new(config, 300);
@@ -229,14 +236,15 @@
             router.outcome(id, 0, to, AttemptStatus::Served);
         }
     }
-    // It also failed while one attempt was counted twice, at both of its marks.
+    // This check also fails if one attempt is counted twice, when it becomes slow and when it becomes nearly
+    // late.
     assert!((30..80).contains(&late), "{late} of the last 200 sent");
 }
 
 #[test]
 fn slow_answers_within_the_objective_reject_no_tenant_within_its_quota() {
-    // Found on hunted day h292ed5: answers at half of the objective counted as overload, and the quota
-    // multiplier fell below 1.
+    // Case h292ed5: answers at half of the objective counted as overload, and the quota multiplier fell below
+    // 1.
     let mut config = Settings {
         may_hedge: false,
         ..settings()
--- a/crates/routing-policy/tests/requests.rs
+++ b/crates/routing-policy/tests/requests.rs
@@ -20,8 +20,11 @@
         ..write(2, 2)
     });
     let after = router.advance(1500 * MS);
-    assert!(rejected(&after, 1), "idempotent: a rejection is true");
-    assert!(failed(&after, 2), "may have run: only a failure is true");
+    assert!(rejected(&after, 1), "idempotent: may be rejected");
+    assert!(
+        failed(&after, 2),
+        "may have run: must be reported as failed"
+    );
 }
 
 #[test]
@@ -50,8 +53,8 @@
 
 #[test]
 fn routers_send_no_peer_messages_and_ignore_what_they_receive() {
-    // Found at full size: what each of 515 sent to all others was 12,360 broadcasts in 18 s, and the day was
-    // lost.
+    // In a full-size run, 515 routers that each messaged all others sent 12,360 broadcasts in 18 s, and the run
+    // failed.
     let mut config = settings();
     (config.tenants, config.balancer_count) = (vec![Tenant { quota_per_s: 100.0 }], 4);
     config.may_message_peers = true;
@@ -72,9 +75,9 @@
 
 #[test]
 fn a_rejected_client_is_given_a_short_retry_after() {
-    // Found on big-1 of the first full-size day: a client that waited 2 s came back too late, was served for
-    // nothing and took the token of a request in time.
-    let hints = |max_retry_after: Micros| {
+    // Full-size run big-1: a client that waited 2 s came back too late. Its answer was worthless and took the
+    // token of a request that was in time.
+    let retry_afters = |max_retry_after: Micros| {
         let mut config = Settings {
             max_retry_after,
             balancer_count: 400,
@@ -85,26 +88,30 @@
         (1..=40).for_each(|id| {
             router.request(read(id, id));
         });
-        let hint = |a: &Action| match a {
+        let retry_after_of = |a: &Action| match a {
             Action::Reject { retry_after, .. } => Some(*retry_after),
             _ => None,
         };
-        router.actions.iter().filter_map(hint).collect::<Vec<_>>()
+        router
+            .actions
+            .iter()
+            .filter_map(retry_after_of)
+            .collect::<Vec<_>>()
     };
-    let given = hints(SECOND);
+    let given = retry_afters(SECOND);
     assert!(
         given.len() > 20 && given.iter().all(|h| (12 * MS..38 * MS).contains(h)),
         "{given:?}"
     );
     assert!(
-        hints(0).iter().all(|h| *h == 0),
-        "where clients honour none, none is given"
+        retry_afters(0).iter().all(|h| *h == 0),
+        "no Retry-After is sent to clients that honour none"
     );
 }
 
 #[test]
 fn a_read_ends_at_its_objective_unless_its_fetch_is_in_flight() {
-    // Found on full-size days: a fifth of all answers came late, and kept the next ones late too.
+    // In full-size runs, a fifth of all answers were late, and made the following ones late too.
     let mut router = Router::new(
         Settings {
             may_cancel: true,
@@ -122,8 +129,8 @@
                 attempt: 0
             })
     );
-    // A fetch cancelled at the objective was never stored, and the origin worked for nobody: rough-2 fell by
-    // a quarter.
+    // A fetch that was cancelled at the objective was never stored, so the origin's work was wasted: the score
+    // of rough-2 fell by a quarter.
     let mut router = Router::new(
         Settings {
             may_cancel: true,
@@ -146,13 +153,13 @@
     );
     assert!(
         rejected(&router.advance(SECOND), 2),
-        "but not beyond the client's time"
+        "but not beyond the client's deadline"
     );
 }
 
 #[test]
 fn an_objective_shorter_than_two_ticks_is_handled() {
-    // Found while reading: the timer of the objective lay before the present and underflowed.
+    // The timer of the objective was set before the present time, and the subtraction underflowed.
     let mut config = Settings {
         balancer_count: 0,
         ..settings()
@@ -193,7 +200,7 @@
     let late = router.outcome(2, 0, to, AttemptStatus::Miss);
     assert!(
         sends(&late) == 0 && !rejected(&late, 2),
-        "its client has left: no fetch, no answer"
+        "its client has left: no fetch and no answer"
     );
     assert!(sends(&router.advance(3 * SECOND)) == 0);
 }
@@ -216,14 +223,14 @@
     };
     let mut router = Router::new(config, 2);
     let weights = [f32::NAN, f32::INFINITY, -1.0];
-    let line = |(id, weight)| Endpoint {
+    let endpoint = |(id, weight)| Endpoint {
         weight,
         started: 60 * SECOND,
         ..server(id)
     };
-    let mut lines: Vec<_> = (1..).zip(weights).map(line).collect();
-    lines.push(origin());
-    router.list(ListUpdate::Full, lines);
+    let mut endpoints: Vec<_> = (1..).zip(weights).map(endpoint).collect();
+    endpoints.push(origin());
+    router.list(ListUpdate::Full, endpoints);
     for id in 1..=30 {
         let answer = router.request(Request {
             tenant: id as usize % 2,
--- a/crates/routing-policy/tests/selection.rs
+++ b/crates/routing-policy/tests/selection.rs
@@ -13,15 +13,15 @@
 
 #[test]
 fn every_router_has_the_same_server_order_for_a_key_and_few_keys_move_when_a_server_is_removed() {
-    let place = |servers: &[u32], key: Key, seed: u64| {
+    let first_server = |servers: &[u32], key: Key, seed: u64| {
         let mut policy = Policy::new(settings(), seed);
-        let lines = servers.iter().map(|id| server(*id)).collect();
+        let listed = servers.iter().map(|id| server(*id)).collect();
         let mut actions = Vec::new();
         policy.handle(
             SECOND,
             Event::EndpointList {
                 update: ListUpdate::Cached,
-                endpoints: lines,
+                endpoints: listed,
             },
             &mut actions,
         );
@@ -32,40 +32,45 @@
     let without: Vec<u32> = (1..=9).collect();
     let mut moved = 0;
     for key in 1..=500 {
-        let first = place(&all, key, 1);
+        let first = first_server(&all, key, 1);
         assert_eq!(
             first,
-            place(&all, key, 2),
+            first_server(&all, key, 2),
             "another router, another seed, the same server"
         );
-        let now = place(&without, key, 1);
+        let new_first = first_server(&without, key, 1);
         assert!(
-            now == first || first == 10,
-            "only keys of the server that went move"
+            new_first == first || first == 10,
+            "only keys of the removed server move"
         );
-        moved += usize::from(now != first);
+        moved += usize::from(new_first != first);
     }
     assert!((20..=90).contains(&moved), "{moved} of 500 keys moved");
 }
 
 #[test]
-fn a_server_over_the_load_bound_is_passed_over_for_the_next_in_the_order() {
+fn a_server_over_the_load_bound_is_skipped_for_the_next_in_the_order() {
     let mut router = Router::new(settings(), 4);
     let first = sent_to(&router.request(read(1, 9))).unwrap();
-    let mut seen = vec![first];
+    let mut chosen = vec![first];
     for id in 2..=12 {
-        seen.push(sent_to(&router.request(read(id, 9))).unwrap());
+        chosen.push(sent_to(&router.request(read(id, 9))).unwrap());
     }
-    assert_eq!(&seen[..4], [first; 4], "within the floor the order holds");
-    // Incident i3bc6f5: with a floor of eight from one router, the busiest server had seven times the mean.
-    assert_ne!(seen[4], first, "over the bound the next server is used");
+    assert_eq!(
+        &chosen[..4],
+        [first; 4],
+        "up to the lower limit of the bound, the first server is used"
+    );
+    // Incident i3bc6f5: with a lower limit of eight attempts for one router, the busiest server had seven times
+    // the mean.
+    assert_ne!(chosen[4], first, "over the bound the next server is used");
 }
 
 #[test]
 fn the_load_bound_is_higher_while_the_origin_is_at_capacity() {
-    // Incidents ia996fa (the origin had capacity, queues at few servers) and iaa6bb1 (the limiter was at
-    // capacity).
-    let taken = |at_capacity: bool| {
+    // Incidents ia996fa (the origin had capacity while a few servers had queues) and iaa6bb1 (the limiter was
+    // at capacity).
+    let sent_to_first = |at_capacity: bool| {
         let mut router = Router::new(
             Settings {
                 balancer_count: 8,
@@ -83,16 +88,16 @@
             .count()
     };
     assert_eq!(
-        taken(false),
+        sent_to_first(false),
         0,
-        "the second request of one of eight routers already goes on"
+        "the second request at one of eight routers already goes to the next server"
     );
-    assert_eq!(taken(true), 2, "the bound is three times the mean");
+    assert_eq!(sent_to_first(true), 2, "the bound is three times the mean");
 }
 
 #[test]
 fn a_request_for_a_full_server_is_rejected_while_load_is_shed_and_sent_otherwise() {
-    // Found on incident i53252a: a bound relative to the mean lets every queue grow at once.
+    // Incident i53252a: a bound relative to the mean let all queues grow together.
     let mut router = Router::just_started(settings(), 2);
     let mut sent = 0;
     for id in 1..=40 {
@@ -103,16 +108,16 @@
         "{sent} requests in flight at two servers that have answered nothing"
     );
     assert!(rejected(&router.actions, 40));
-    let mut quiet = Router::new(settings(), 2);
+    let mut idle_router = Router::new(settings(), 2);
     let sent = (1..=10)
-        .map(|id| sends(&quiet.request(read(id, id))))
+        .map(|id| sends(&idle_router.request(read(id, id))))
         .sum::<usize>();
     assert_eq!(sent, 10, "a burst at an idle fleet is served");
 }
 
 #[test]
 fn a_few_requests_in_flight_at_fast_servers_with_few_answers_are_no_backlog() {
-    // Found on r8880: servers that answer within a third of an objective counted as full with three in
+    // Case r8880: servers that answer within a third of the objective counted as full with three attempts in
     // flight.
     let mut router = Router::just_started(settings(), 2);
     for id in 1..=4 {
@@ -125,7 +130,7 @@
         .sum::<usize>();
     assert_eq!(
         sent, 10,
-        "five at each, of the twelve that one core answers in an objective"
+        "five at each, of the twelve that one core answers within the objective"
     );
     let more = (21..=200)
         .map(|id| sends(&router.request(read(id, id))))
@@ -138,8 +143,8 @@
 
 #[test]
 fn a_full_server_does_not_spill_its_keys_to_servers_further_down_the_order() {
-    // Found on incident ia996fa: full servers passed their keys on to servers that lacked them, the caches
-    // lost their values, and fetches were two fifths of all sends.
+    // Incident ia996fa: requests for full servers went to servers without their values. The caches lost their
+    // values, and fetches were two fifths of all attempts.
     let mut router = Router::just_started(settings(), 12);
     let mut used = std::collections::BTreeSet::new();
     for id in 1..=60 {
@@ -151,11 +156,12 @@
 
 #[test]
 fn a_request_with_little_time_goes_to_a_server_that_answers_in_time_or_is_rejected() {
-    // Found on r7044: clients with less time than the way to a server took were sent there all the same.
+    // Case r7044: requests were sent to servers whose network delay was longer than the client's remaining
+    // time.
     let mut router = Router::new(settings(), 2);
     let near = keys_at(&mut router, 1000, 1, MS);
     let far = (1..=200).find(|key| !near.contains(key)).unwrap();
-    // It follows slower answers slowly.
+    // The fastest time of a server follows slower answers slowly.
     for id in 1..=200 {
         router.request(read(id, far));
         router.advance(60 * MS);
@@ -168,7 +174,7 @@
     assert_eq!(
         sent_to(&router.request(within(301, 100 * MS))),
         Some(2),
-        "there is time for its own server"
+        "there is time for its first server"
     );
     assert_eq!(
         sent_to(&router.request(within(302, 40 * MS))),
@@ -180,8 +186,9 @@
 }
 
 #[test]
-fn a_server_full_of_other_routers_requests_is_passed_over_by_its_live_weight() {
-    // Found under shared slowness: queues of twelve a core, of which each router saw one request of its own.
+fn a_server_full_of_other_routers_requests_is_skipped_by_its_live_weight() {
+    // When all servers were slow, queues grew to twelve requests per core, of which each router saw only its
+    // own one.
     let config = Settings {
         weights_are_live: true,
         may_hedge: false,
@@ -199,7 +206,7 @@
         }],
     );
     let next = sent_to(&router.request(read(2, 9))).expect("another has capacity");
-    assert_ne!(next, first, "nine requests a core wait there");
+    assert_ne!(next, first, "nine requests per core wait there");
     let all = (1..=3)
         .map(|id| Endpoint {
             weight: 0.1,
--- a/crates/routing-policy/tests/size.rs
+++ b/crates/routing-policy/tests/size.rs
@@ -1,5 +1,5 @@
-//! Every file that decides is named in the deploy file, and the deploy file names no other: what the operators
-//! read as the policy is the whole of it.
+//! The deployment files list every source file that makes decisions and no other, so that operators can read
+//! the whole policy from that list.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -10,16 +10,16 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// Where the decisions are, from the root of the repository.
+/// The sources of the policy, relative to the repository root.
 const SOURCES: &str = "crates/routing-policy/src";
-/// The one module of the policy that decides nothing: it holds the state and how it begins.
+/// The only module of the policy that makes no decisions: its state and initial values.
 const STATE_MODULE: &str = "crates/routing-policy/src/policy/router_state.rs";
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-fn named_in(deploy_file: &str) -> Vec<String> {
+fn policy_files_in(deploy_file: &str) -> Vec<String> {
     let text = std::fs::read_to_string(root().join("deploy").join(deploy_file)).unwrap();
     let deploy: toml::Table = text.parse().unwrap();
     let files = deploy["policy"].as_array().unwrap();
@@ -29,7 +29,7 @@
         .collect()
 }
 
-/// Adds the files in a folder, and in the folders in it, as paths from the root of the repository.
+/// Adds the files in a folder and its subfolders, as paths relative to the repository root.
 fn collect_files(folder: &str, files: &mut BTreeSet<String>) {
     for entry in std::fs::read_dir(root().join(folder)).unwrap() {
         let entry = entry.unwrap();
@@ -43,26 +43,32 @@
 }
 
 #[test]
-fn the_deploy_file_names_every_file_that_decides_and_no_other() {
-    let mut deciding = BTreeSet::from([format!("{SOURCES}/policy.rs")]);
-    collect_files(&format!("{SOURCES}/policy"), &mut deciding);
-    assert!(deciding.remove(STATE_MODULE), "{STATE_MODULE} is there");
-    let named: BTreeSet<_> = named_in("balancer.toml").into_iter().collect();
-    assert_eq!(named, deciding);
+fn the_deployment_file_lists_every_file_that_makes_decisions_and_no_other() {
+    let mut decision_files = BTreeSet::from([format!("{SOURCES}/policy.rs")]);
+    collect_files(&format!("{SOURCES}/policy"), &mut decision_files);
+    assert!(
+        decision_files.remove(STATE_MODULE),
+        "{STATE_MODULE} is there"
+    );
+    let listed: BTreeSet<_> = policy_files_in("balancer.toml").into_iter().collect();
+    assert_eq!(listed, decision_files);
 }
 
 #[test]
 fn each_named_file_exists_and_is_named_once() {
-    let named = named_in("balancer.toml");
-    assert!(!named.is_empty(), "the deploy file names the policy files");
-    for file in &named {
+    let listed = policy_files_in("balancer.toml");
+    assert!(!listed.is_empty(), "the deploy file names the policy files");
+    for file in &listed {
         assert!(root().join(file).is_file(), "{file} does not exist");
     }
-    let distinct: BTreeSet<_> = named.iter().collect();
-    assert_eq!(distinct.len(), named.len(), "a file is named twice");
+    let distinct: BTreeSet<_> = listed.iter().collect();
+    assert_eq!(distinct.len(), listed.len(), "a file is named twice");
 }
 
 #[test]
 fn the_deployment_with_the_trace_names_the_same_policy_files() {
-    assert_eq!(named_in("trace.toml"), named_in("balancer.toml"));
+    assert_eq!(
+        policy_files_in("trace.toml"),
+        policy_files_in("balancer.toml")
+    );
 }
--- a/crates/routing-policy/tests/slow_start.rs
+++ b/crates/routing-policy/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Servers that have just started and warm up.
+//! Slow start: servers that have just started and are warming up.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -12,9 +12,9 @@
 use routing_policy::*;
 
 #[test]
-fn what_warm_servers_reject_is_not_retried_at_one_in_slow_start() {
-    // Found on join+mass: of 46 attempts in 2 s at a starting server that collapsed 25 had been rejected
-    // elsewhere.
+fn requests_rejected_by_warm_servers_are_not_retried_at_a_server_in_slow_start() {
+    // Scenario join+mass: a starting server collapsed after 46 attempts in 2 s, of which 25 had first been
+    // rejected by other servers.
     let mut router = Router::new(settings(), 3);
     router.list(
         ListUpdate::Delta,
@@ -23,11 +23,15 @@
             ..server(4)
         }],
     );
-    let (mut first, mut later) = (0, 0);
+    let (mut first_attempts, mut retries) = (0, 0);
     for id in 1..=300 {
         let (mut answer, mut attempt) = (router.request(read(id, id)), 0);
         while let Some(server) = sent_to(&answer) {
-            let count = if attempt == 0 { &mut first } else { &mut later };
+            let count = if attempt == 0 {
+                &mut first_attempts
+            } else {
+                &mut retries
+            };
             *count += usize::from(server == 4);
             let status = if server == 4 {
                 AttemptStatus::Served
@@ -40,23 +44,28 @@
         router.advance(10 * MS);
     }
     assert!(
-        first > 0 && later == 0,
-        "{first} of its own, {later} of the others"
+        first_attempts > 0 && retries == 0,
+        "{first_attempts} first attempts, {retries} retries of requests that others rejected"
     );
 }
 
 #[test]
 fn a_server_in_slow_start_gets_no_more_when_clients_retry_in_an_overload() {
-    // Found on join+mass: with 1.8 tries for each request, starting servers were sent up to four times what
-    // they can take.
+    // Scenario join+mass: with 1.8 tries per request, starting servers were sent up to four times what they can
+    // take.
     let sent_to_starting = |client_retries: u64| {
         let mut router = Router::just_started(settings(), 3);
         let mut at_starting = 0;
         for step in 1..=300u64 {
-            for again in 0..3 + client_retries {
-                let id = step * 10 + again;
-                let time_left = if again < 3 { 1200 * MS } else { 700 * MS };
-                // The warm ones are full and left few of their keys: these come to the starting one.
+            for request_number in 0..3 + client_retries {
+                let id = step * 10 + request_number;
+                let time_left = if request_number < 3 {
+                    1200 * MS
+                } else {
+                    700 * MS
+                };
+                // The warm servers are full, so their key shares are cut, and these requests reach the starting
+                // one.
                 let (mut answer, mut attempt) = (
                     router.request(Request {
                         remaining_deadline: time_left,
@@ -89,10 +98,10 @@
         }
         at_starting
     };
-    let (once, twice) = (sent_to_starting(0), sent_to_starting(2));
+    let (without_retries, with_retries) = (sent_to_starting(0), sent_to_starting(2));
     assert!(
-        once > 0 && twice <= once + once / 10,
-        "{twice} sent to it, {once} when each asks once"
+        without_retries > 0 && with_retries <= without_retries + without_retries / 10,
+        "{with_retries} sent to it, {without_retries} when no client retries"
     );
 }
 
@@ -129,7 +138,7 @@
 #[test]
 fn a_hot_key_does_not_go_to_a_server_in_slow_start() {
     // Incident ibfd28e: one request for a hot key from each of 1,096 routers overloaded a starting server.
-    let at_starting = |again: bool| {
+    let at_starting = |is_hot: bool| {
         let tenants = vec![Tenant {
             quota_per_s: 100_000.0,
         }];
@@ -140,17 +149,17 @@
             ..settings()
         };
         let mut router = Router::new(config, 4);
-        let ask = |router: &mut Router, id, key| {
+        let send_read = |router: &mut Router, id, key| {
             router.advance(20 * MS);
             let to = sent_to(&router.request(read(id, key)));
             router.outcome(id, 0, to.unwrap(), AttemptStatus::Served);
             to
         };
         let key = (1..)
-            .find(|key| ask(&mut router, 1000 + key, *key) == Some(2))
+            .find(|key| send_read(&mut router, 1000 + key, *key) == Some(2))
             .unwrap();
         for id in 5000..5100 {
-            ask(&mut router, id, if again { key } else { id });
+            send_read(&mut router, id, if is_hot { key } else { id });
         }
         router.list(
             ListUpdate::Delta,
@@ -159,16 +168,20 @@
                 ..server(2)
             }],
         );
-        ask(&mut router, 9999, key) == Some(2)
+        send_read(&mut router, 9999, key) == Some(2)
     };
-    assert!(at_starting(false), "a key of its own goes there");
-    assert!(!at_starting(true), "a hot one does not");
+    assert!(
+        at_starting(false),
+        "a key that is requested once goes there"
+    );
+    assert!(!at_starting(true), "a hot key does not");
 }
 
 #[test]
-fn a_hundred_routers_together_spare_a_server_from_the_moment_of_its_start() {
-    // Found on the fleet days: each of a hundred had a token for it at once, and there is always a key that
-    // is popular with all and asked for once by each: 74 attempts from 58 of them in 2 s, and it collapsed.
+fn a_hundred_routers_together_do_not_overload_a_server_that_has_just_started() {
+    // In large simulated fleets, each of a hundred routers could send a starting server one attempt at once,
+    // and some key is always popular with all routers but requested only once at each. The server got 74
+    // attempts from 58 routers in 2 s and collapsed.
     let tenants = vec![Tenant {
         quota_per_s: 2_000.0,
     }];
@@ -194,16 +207,20 @@
         };
         (1..=100).filter(|seed| router(*seed)).count()
     };
-    let most = (1..=80).map(at_starting).max().unwrap();
-    // A warm one of twenty has 200 requests in 2 s. This one collapses when sent three times an eighth of
-    // that.
-    assert!((5..=60).contains(&most), "{most} attempts in two seconds");
+    let max_attempts = (1..=80).map(at_starting).max().unwrap();
+    // A warm server, one of twenty, gets 200 requests in 2 s. This one collapses when sent three times an
+    // eighth of that.
+    assert!(
+        (5..=60).contains(&max_attempts),
+        "{max_attempts} attempts in two seconds"
+    );
 }
 
 #[test]
-fn slow_start_follows_what_the_machine_kind_can_do_and_not_client_retries() {
-    // Found on the fleet days: a small server that had just started was allowed as much as one of three times
-    // its capacity, and more as clients retried what was rejected: it collapsed 9 s after its start.
+fn slow_start_follows_the_capacity_of_the_machine_kind_and_not_client_retries() {
+    // In large simulated fleets, a small server that had just started was allowed as many attempts as one of
+    // three times its capacity, and more when clients retried rejected requests. It collapsed 9 s after its
+    // start.
     let config = Settings {
         balancer_count: 100,
         cold_capacity_share: 0.2,
@@ -213,19 +230,19 @@
     let (mut strong, mut weak) = (0, 0);
     for seed in 1..=30u64 {
         let mut router = Router::seeded(config.clone(), 0, seed);
-        let line = |id| Endpoint {
+        let endpoint = |id| Endpoint {
             kind: 2 + (id % 2) as u16,
             ..server(id)
         };
         router.list(
             ListUpdate::Full,
-            (1..=20).map(line).chain([origin()]).collect(),
+            (1..=20).map(endpoint).chain([origin()]).collect(),
         );
-        let ask = |router: &mut Router, id: u64| {
+        let send_read = |router: &mut Router, id: u64| {
             let to = sent_to(&router.request(read(id, seed * 10_000 + id)));
-            // One in four of the weak ones' attempts is rejected, and the next server answers.
-            let full = to.is_some_and(|to| to % 2 == 1) && id.is_multiple_of(4);
-            let mut next = to.zip(Some(if full {
+            // One in four attempts at the weak servers is rejected, and the next server answers.
+            let is_rejected = to.is_some_and(|to| to % 2 == 1) && id.is_multiple_of(4);
+            let mut next = to.zip(Some(if is_rejected {
                 AttemptStatus::Rejected
             } else {
                 AttemptStatus::Served
@@ -239,16 +256,16 @@
         };
         for id in 1..=300 {
             router.advance(50 * MS);
-            ask(&mut router, id);
+            send_read(&mut router, id);
         }
         let starting = |id| Endpoint {
             started: router.now,
-            ..line(id)
+            ..endpoint(id)
         };
         router.list(ListUpdate::Delta, vec![starting(1), starting(2)]);
         for id in 1001..=1500 {
-            router.advance(2 * MS); // Twenty-five times as many as usual.
-            let to = ask(&mut router, id);
+            router.advance(2 * MS); // Twenty-five times the usual rate.
+            let to = send_read(&mut router, id);
             (weak, strong) = (
                 weak + usize::from(to == Some(1)),
                 strong + usize::from(to == Some(2)),
@@ -257,19 +274,19 @@
     }
     assert!(
         weak > 0 && weak * 2 < strong,
-        "{weak} at the weak one, {strong} at the other"
+        "{weak} at the weak server, {strong} at the strong one"
     );
     assert!(
         strong < 120,
-        "{strong} of 30 routers in a second, of which each usually sends a warm one one"
+        "{strong} from 30 routers in a second, each of which usually sends a warm server one"
     );
 }
 
 #[test]
-fn slow_start_follows_what_warm_servers_of_the_kind_answer_though_no_kind_is_spared() {
-    // Found on join+mass, seed 453681421112: an overload left both kinds a tenth of their keys, the bucket of
-    // a small starting server filled as fast as that of a standard one, and one was sent 53 attempts in 2 s
-    // of which it took in 26.
+fn slow_start_follows_the_answer_rate_of_warm_servers_of_the_kind_without_key_share_cuts() {
+    // Scenario join+mass, seed 453681421112: in an overload, the key shares of both kinds were cut to a tenth.
+    // The bucket of a small starting server then filled as fast as that of a standard one, and it was sent 53
+    // attempts in 2 s, of which it could take 26.
     let (mut strong, mut weak) = (0, 0);
     for seed in 1..=30u64 {
         let config = Settings {
@@ -279,17 +296,17 @@
             ..settings()
         };
         let mut router = Router::seeded(config, 0, seed);
-        let line = |id| Endpoint {
+        let endpoint = |id| Endpoint {
             kind: 2 + (id % 2) as u16,
             ..server(id)
         };
         router.list(
             ListUpdate::Full,
-            (1..=20).map(line).chain([origin()]).collect(),
+            (1..=20).map(endpoint).chain([origin()]).collect(),
         );
-        let ask = |router: &mut Router, id: u64| {
+        let send_read = |router: &mut Router, id: u64| {
             let to = sent_to(&router.request(read(id, seed * 10_000 + id)));
-            // Three of four clients of the weak ones leave before the answer: that spares no kind.
+            // Three of four clients of the weak servers leave before the answer, which cuts no key share.
             if to.is_some_and(|to| to % 2 == 1) && !id.is_multiple_of(4) {
                 router.event(Event::ClientGone(id));
                 router.outcome(id, 0, to.unwrap(), AttemptStatus::Cancelled);
@@ -300,16 +317,16 @@
         };
         for id in 1..=300 {
             router.advance(50 * MS);
-            ask(&mut router, id);
+            send_read(&mut router, id);
         }
         let starting = |id| Endpoint {
             started: router.now,
-            ..line(id)
+            ..endpoint(id)
         };
         router.list(ListUpdate::Delta, vec![starting(1), starting(2)]);
         for id in 1001..=1200 {
             router.advance(50 * MS);
-            let to = ask(&mut router, id);
+            let to = send_read(&mut router, id);
             (weak, strong) = (
                 weak + usize::from(to == Some(1)),
                 strong + usize::from(to == Some(2)),
@@ -318,14 +335,14 @@
     }
     assert!(
         weak > 0 && weak * 2 < strong,
-        "{weak} at the weak one, {strong} at the other"
+        "{weak} at the weak server, {strong} at the strong one"
     );
 }
 
 #[test]
-fn a_weak_server_in_slow_start_is_left_more_room_for_chance_among_routers() {
-    // Found on join+mass, seed 453681421112: a bucket at each of 300 routers, filling as fast as the server
-    // can take on the mean, let 40 attempts come within 2 s at one that answered 17 of them.
+fn a_weak_server_in_slow_start_has_a_larger_margin_for_random_variation_among_routers() {
+    // Scenario join+mass, seed 453681421112: each of 300 routers had a bucket that filled at the mean rate that
+    // the server can take. Together they sent 40 attempts within 2 s to a server that answered 17 of them.
     let at_starting = |quota_per_s: f64| {
         let tenants = vec![Tenant { quota_per_s }];
         let (routers, warm_up) = (100, 1_000_000 * SECOND);
@@ -344,30 +361,30 @@
                 ..server(2)
             }],
         );
-        // Clients ask for three times what they usually do, so that the bucket is always in use.
+        // Clients send three times their usual requests, so that the bucket is always in use.
         let gap = (100.0 / quota_per_s * SECOND as f64 / 3.0) as u64;
-        let ask = |id: &u64| {
+        let send_read = |id: &u64| {
             router.advance(gap);
             let to = sent_to(&router.request(read(*id, *id)));
             to.into_iter()
                 .for_each(|to| drop(router.outcome(*id, 0, to, AttemptStatus::Served)));
             to == Some(2)
         };
-        (1..=12_000).filter(ask).count()
+        (1..=12_000).filter(send_read).count()
     };
-    // A warm one has 200 of them. By the settings this one may have half of that: at a hundredth of the
-    // traffic 8, and at all of it 800, in the 2 s after which it collapses.
-    let (few, many) = (at_starting(200.0), at_starting(20_000.0));
+    // A warm server gets 200 of them, and the settings allow this one half of that. In the 2 s after which it
+    // collapses, that is 8 at a hundredth of the traffic, and 800 at the full traffic.
+    let (at_low_traffic, at_full_traffic) = (at_starting(200.0), at_starting(20_000.0));
     assert!(
-        few > 20 && few * 3 < many * 2,
-        "{few} where it can take 8 at a time, {many} where it can take 800"
+        at_low_traffic > 20 && at_low_traffic * 3 < at_full_traffic * 2,
+        "{at_low_traffic} where it can take 8 in a window, {at_full_traffic} where it can take 800"
     );
 }
 
 #[test]
-fn servers_in_slow_start_get_what_they_can_take_so_that_warm_ones_are_not_overloaded() {
-    // Found on the fleet days: 36 of 60 servers were new, each was given a part of its keys as if it were
-    // half as strong as it must at least be, and the warm 24 rejected three of four attempts.
+fn servers_in_slow_start_get_the_load_they_can_take_so_that_warm_ones_are_not_overloaded() {
+    // In large simulated fleets, 36 of 60 servers were new. Each was given keys for only half of the capacity
+    // that a new server has at least, and the 24 warm servers rejected three of four attempts.
     let at_starting = |overload_multiple: f64| {
         let tenants = vec![Tenant { quota_per_s: 100.0 }];
         let config = Settings {
@@ -385,28 +402,29 @@
                 ..server(2)
             }],
         );
-        let mut ask = |id: u64| {
+        let mut send_read = |id: u64| {
             router.advance(10 * MS);
             let to = sent_to(&router.request(read(id, id))).unwrap();
             router.outcome(id, 0, to, AttemptStatus::Served);
             to == 2
         };
-        (1..=1000).filter(|id| ask(*id)).count()
+        (1..=1000).filter(|id| send_read(*id)).count()
     };
-    // A warm one has a hundred, this one can do 12 to 49 of them in its first ten seconds, 30 in all.
-    let (of_two, of_four) = (at_starting(2.0), at_starting(4.0));
+    // A warm server gets a hundred requests. The capacity of this one rises from 12 to 49 percent of that in
+    // its first ten seconds, which is enough for 30 in all.
+    let (at_multiple_two, at_multiple_four) = (at_starting(2.0), at_starting(4.0));
     assert!(
-        (25..=56).contains(&of_two),
-        "{of_two} where it collapses at twice what it can do"
+        (25..=56).contains(&at_multiple_two),
+        "{at_multiple_two} where it collapses at twice its capacity"
     );
     assert!(
-        (60..=96).contains(&of_four),
-        "{of_four} where it collapses at four times that"
+        (60..=96).contains(&at_multiple_four),
+        "{at_multiple_four} where it collapses at four times its capacity"
     );
 }
 
 #[test]
-fn a_start_beyond_all_time_is_that_of_a_cold_server() {
+fn a_start_time_in_the_far_future_is_that_of_a_cold_server() {
     let mut router = Router::new(settings(), 3);
     let started = u64::MAX;
     router.list(
