--- a/crates/routing-policy/src/log_event.rs
+++ b/crates/routing-policy/src/log_event.rs
@@ -1,38 +1,40 @@
-//! Events for the operators' log. The policy reports them; the program that embeds it writes them.
+//! Events for the operators' log. The policy reports them; the embedding program writes them.
 
 use std::fmt;
 
 use crate::identifiers::{Micros, ServerId};
 
-/// An event for the log. Its `Display` is one line: a constant message and key=value fields.
+/// A log event. Its `Display` output is one line: a constant message and key=value fields.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogEvent {
-    /// A server failed several times in a row, or refused a connection, and is ejected for a while.
+    /// A server failed several times in a row, or refused a connection, and is temporarily ejected.
     ServerEjected {
         /// The server.
         server: ServerId,
         /// Duration of the ejection in microseconds.
         ejected_for: Micros,
     },
-    /// An ejected server answered a request and is readmitted.
+    /// An ejected server responded to a request and is readmitted.
     ServerReadmitted {
         /// The server.
         server: ServerId,
     },
-    /// A connection to an unreachable server came up late; the server is readmitted.
+    /// A connection to an unreachable server was established after the attempts had stopped waiting for it; the
+    /// server is readmitted.
     ServerReached {
         /// The server.
         server: ServerId,
     },
-    /// The limit on outstanding origin calls fell below a quarter of its ceiling: the origin is slow or fails.
+    /// The limit on outstanding origin calls fell below a quarter of its maximum: the origin is slow or
+    /// failing.
     OriginLimitLowered,
-    /// The limit on outstanding origin calls is back above a quarter of its ceiling.
+    /// The limit on outstanding origin calls rose back to a quarter of its maximum or above.
     OriginLimitRestored,
-    /// Tenants over their quotas are being rejected.
+    /// The router started to reject requests of tenants that exceed their quotas.
     LoadSheddingStarted,
-    /// Tenants are no longer held to their quotas.
+    /// The router stopped limiting tenants to their quotas.
     LoadSheddingEnded,
-    /// A call to discovery failed or the watch broke.
+    /// A call to discovery failed or the watch of the endpoint list broke.
     DiscoveryRetry {
         /// The backoff before the next call in microseconds.
         backoff: Micros,
--- a/crates/routing-policy/src/state.rs
+++ b/crates/routing-policy/src/state.rs
@@ -1,5 +1,5 @@
-//! What a router keeps in memory: records, containers and estimators. They decide nothing; every figure that
-//! a decision depends on comes from the policy.
+//! In-memory state of a router: records, containers and estimators. This module makes no decisions; the policy
+//! supplies every threshold and parameter that a decision depends on.
 
 mod crossing;
 mod decaying_ratio;
--- a/crates/routing-policy/src/state/crossing.rs
+++ b/crates/routing-policy/src/state/crossing.rs
@@ -1,13 +1,13 @@
-//! Whether a figure has crossed a threshold.
+//! Detects when a value crosses a threshold.
 
-/// Where a figure was and is, beside a threshold.
+/// The position of a value relative to a threshold, before and after a change.
 pub(crate) struct Crossing {
     was_below: bool,
     is_below: bool,
 }
 
 impl Crossing {
-    /// The move of a figure.
+    /// Compares the values before and after a change with the threshold.
     pub(crate) fn new(before: f64, after: f64, threshold: f64) -> Self {
         Crossing {
             was_below: before < threshold,
@@ -15,7 +15,8 @@
         }
     }
 
-    /// The first where the figure fell below the threshold, the second where it rose to it again.
+    /// Returns `fallen` if the value fell below the threshold, `risen` if it rose to or above it, and `None` if
+    /// it did not cross.
     pub(crate) fn choose<T>(&self, fallen: T, risen: T) -> Option<T> {
         if self.was_below == self.is_below {
             return None;
--- a/crates/routing-policy/src/state/decaying_ratio.rs
+++ b/crates/routing-policy/src/state/decaying_ratio.rs
@@ -1,36 +1,41 @@
-//! The ratio of two counts that both decay.
+//! A ratio of two exponentially decaying counts.
 
-/// How many cases there were among all observations, recent ones counting most.
+/// The fraction of observations that are positive cases. Recent observations have the highest weight.
 #[derive(Default)]
 pub(crate) struct DecayingRatio {
     cases: f64,
-    all: f64,
+    observations: f64,
     since_decay: f64,
 }
 
 impl DecayingRatio {
-    /// Counts cases, and among how many observations.
-    pub(crate) fn add(&mut self, cases: f64, all: f64) {
+    /// Adds a number of cases and the number of observations that they were among.
+    pub(crate) fn add(&mut self, cases: f64, observations: f64) {
         self.cases += cases;
-        self.all += all;
-        self.since_decay += all;
+        self.observations += observations;
+        self.since_decay += observations;
     }
 
-    /// The cases as a fraction of all observations, or of one where there were fewer.
+    /// Cases per observation. Less than one observation counts as one.
     pub(crate) fn value(&self) -> f64 {
-        self.cases / self.all.max(1.0)
+        self.cases / self.observations.max(1.0)
     }
 
-    /// Observations since the last decay.
+    /// Number of observations since the last decay.
     pub(crate) fn since_decay(&self) -> f64 {
         self.since_decay
     }
 
-    /// Keeps this fraction of the past while more observations than the least remain.
-    pub(crate) fn decay(&mut self, keep: f64, least: f64) {
-        let keep = if self.all > least { keep } else { 1.0 };
+    /// Multiplies both counts by `keep` if there are more than `min_observations`; otherwise leaves them
+    /// unchanged. Restarts the count of observations since the last decay in either case.
+    pub(crate) fn decay(&mut self, keep: f64, min_observations: f64) {
+        let keep = if self.observations > min_observations {
+            keep
+        } else {
+            1.0
+        };
         self.cases *= keep;
-        self.all *= keep;
+        self.observations *= keep;
         self.since_decay = 0.0;
     }
 }
--- a/crates/routing-policy/src/state/fleet.rs
+++ b/crates/routing-policy/src/state/fleet.rs
@@ -1,68 +1,69 @@
-//! The servers of the endpoint list and their kinds.
+//! The servers of the endpoint list, and the statistics of their machine kinds.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{Attempt, KeyOrders, MachineKind, Server, SmoothedTime};
 use crate::interface::{EndpointState, Micros, ServerId};
 
-/// All servers, and the figures that they have together.
+/// All known servers and the fleet-wide totals and averages.
 #[derive(Default)]
 pub(crate) struct Fleet {
-    /// The servers that are listed or still owe an outcome.
+    /// Servers that are in the endpoint list or still have attempts in flight.
     pub(crate) servers: BTreeMap<ServerId, Server>,
-    /// The orders of the keys over the cache servers that are ready.
+    /// Rendezvous order of the ready cache servers for each key.
     pub(crate) key_orders: KeyOrders,
-    /// The heaviest of these, by its line of the list.
+    /// The ready cache server with the highest weight in the endpoint list.
     pub(crate) heaviest: Option<ServerId>,
-    /// What was seen of each kind of machine.
+    /// Statistics of each machine kind.
     pub(crate) kinds: BTreeMap<u16, MachineKind>,
-    /// The servers whose key shares may not be whole: no others grow.
-    reduced: BTreeSet<ServerId>,
-    /// Capacity of all cache servers that are ready.
+    /// Servers whose key share may be below 1. Only these have to grow.
+    reduced_servers: BTreeSet<ServerId>,
+    /// Total capacity of all ready cache servers.
     pub(crate) total_capacity: f64,
-    /// Capacity of one of them on the mean.
+    /// Mean capacity of a ready cache server.
     pub(crate) mean_capacity: f64,
-    /// Time that a server takes for one request, without its queue.
+    /// Smoothed service time of one request, without queueing time.
     pub(crate) service_time: SmoothedTime,
-    /// Attempts at cache servers without outcome.
+    /// Number of attempts in flight at cache servers.
     pub(crate) cache_attempts: u32,
 }
 
 impl Fleet {
-    /// A server.
+    /// Returns a server by its ID.
     pub(crate) fn get(&self, id: ServerId) -> Option<&Server> {
         self.servers.get(&id)
     }
 
-    /// A server, to be changed.
+    /// Returns a mutable reference to a server.
     pub(crate) fn get_mut(&mut self, id: ServerId) -> Option<&mut Server> {
         self.servers.get_mut(&id)
     }
 
-    /// A server and its kind, to be changed; the kind is added where it is new.
+    /// Returns a server and its machine kind for modification. Adds the kind if it is not yet known.
     pub(crate) fn with_kind(&mut self, id: ServerId) -> Option<(&mut Server, &mut MachineKind)> {
         let server = self.servers.get_mut(&id)?;
         let kind = self.kinds.entry(server.endpoint.kind).or_default();
-        // Its share is cut through this reference only.
-        self.reduced.insert(id);
+        // A server's key share is reduced only through this reference.
+        self.reduced_servers.insert(id);
         Some((server, kind))
     }
 
-    /// The share of its keys that a server is left for what was seen of its kind.
+    /// The fraction of its keys that a server keeps, based on its machine kind alone.
     pub(crate) fn kind_share(&self, server: &Server) -> f64 {
         let kind = self.kind_of(server);
         kind.map_or(1.0, |kind| kind.key_share.get())
     }
 
-    /// The share of its keys that a server is left, by what was seen of it and of all of its kind.
+    /// The fraction of its keys that a server keeps, based on its own results and those of its machine kind.
     pub(crate) fn key_share(&self, server: &Server) -> f64 {
         server.key_share.get() * self.kind_share(server)
     }
 
-    /// Adds to the key shares of all servers and kinds. Few servers have a reduced one, and this is done often.
+    /// Adds `fraction` to the key shares of all servers and kinds. This runs often, so it visits only the few
+    /// servers whose key share is reduced.
     pub(crate) fn grow_key_shares(&mut self, fraction: f64) {
         let servers = &mut self.servers;
-        self.reduced.retain(|id| {
+        self.reduced_servers.retain(|id| {
             let Some(server) = servers.get_mut(id) else {
                 return false;
             };
@@ -74,34 +75,42 @@
         }
     }
 
-    /// Takes what was counted in a period into the rates of the kinds.
+    /// Updates the rates of all machine kinds with the events of the period that ends.
     pub(crate) fn end_period(&mut self, period: Micros) {
         for kind in self.kinds.values_mut() {
             kind.answers_per_server.end_period(period);
         }
     }
 
-    /// Notes whether the last failure of a server was one to connect.
+    /// Records whether a server's last failure was a failure to connect.
     pub(crate) fn set_unreachable(&mut self, id: ServerId, unreachable: bool) {
         if let Some(server) = self.servers.get_mut(&id) {
             server.unreachable = unreachable;
         }
     }
 
-    /// Takes the time of an answer into the service time with one weight, and into its server's fastest time,
-    /// which follows a faster answer at once, with the other.
-    pub(crate) fn record_time(&mut self, call: &Attempt, now: Micros, service: f64, fastest: f64) {
-        let Some(server) = self.servers.get_mut(&call.server) else {
+    /// Records the response time of an attempt. It is divided by one plus the requests per core, so that
+    /// queueing time is not counted. `service_weight` is its weight in the fleet's smoothed service time,
+    /// `fastest_weight` its weight in the server's fastest time. A response faster than the fastest time
+    /// replaces it.
+    pub(crate) fn record_time(
+        &mut self,
+        attempt: &Attempt,
+        now: Micros,
+        service_weight: f64,
+        fastest_weight: f64,
+    ) {
+        let Some(server) = self.servers.get_mut(&attempt.server) else {
             return;
         };
-        let time = call.elapsed(now) as f64 / (1.0 + server.requests_per_core());
-        let is_faster = time < server.fastest.get();
-        let weight = if is_faster { 1.0 } else { fastest };
-        server.fastest.record(time, weight);
-        self.service_time.record(time, service);
+        let response_time = attempt.elapsed(now) as f64 / (1.0 + server.requests_per_core());
+        let is_faster = response_time < server.fastest.get();
+        let weight = if is_faster { 1.0 } else { fastest_weight };
+        server.fastest.record(response_time, weight);
+        self.service_time.record(response_time, service_weight);
     }
 
-    /// Counts the servers of each kind that are ready and warm.
+    /// Recounts the warm, ready cache servers of each machine kind.
     pub(crate) fn count_warm_servers(&mut self, now: Micros, warm_up_period: Micros) {
         for kind in self.kinds.values_mut() {
             kind.warm_servers = 0;
@@ -114,32 +123,34 @@
         }
     }
 
-    /// The kind of a server, if anything was seen of it.
+    /// The machine kind of a server, or `None` if nothing has been recorded for it.
     pub(crate) fn kind_of(&self, server: &Server) -> Option<&MachineKind> {
         self.kinds.get(&server.endpoint.kind)
     }
 
-    /// The cache servers that are ready, in the order of their ids.
+    /// Iterates over the ready cache servers in order of their IDs.
     pub(crate) fn ready_cache_servers(&self) -> impl Iterator<Item = &Server> {
         self.servers.values().filter(|s| s.is_ready_cache())
     }
 
-    /// The first origin that is ready.
+    /// The ready origin with the lowest ID.
     pub(crate) fn ready_origin(&self) -> Option<ServerId> {
         let mut servers = self.servers.values();
         let origin = servers.find(|s| s.is_origin && s.endpoint.state == EndpointState::Ready);
         origin.map(|s| s.endpoint.id)
     }
 
-    /// Marks all servers as removed, before a whole list is taken in.
+    /// Marks all servers as removed. Called before a full list is applied, which restores those that it
+    /// contains.
     pub(crate) fn mark_all_removed(&mut self) {
         for server in self.servers.values_mut() {
             server.endpoint.state = EndpointState::Removed;
         }
     }
 
-    /// Forgets servers that are removed and owe no outcome, once a list has been taken in, and orders the keys
-    /// over those that are ready: in one walk, as each is a large part of what a change costs.
+    /// Deletes removed servers that have no attempts in flight, and updates the rendezvous order and the
+    /// heaviest server. Called after a list has been applied. One pass does all of it, because each pass over
+    /// the fleet is a large part of the cost of a list update.
     pub(crate) fn forget_removed(&mut self) {
         let mut ready = Vec::with_capacity(self.servers.len());
         let mut heaviest: Option<(f32, ServerId)> = None;
@@ -147,7 +158,7 @@
             let weight = server.endpoint.weight;
             if server.is_ready_cache() {
                 ready.push(*id);
-                if !weight.is_nan() && heaviest.is_none_or(|(most, _)| weight > most) {
+                if !weight.is_nan() && heaviest.is_none_or(|(max_weight, _)| weight > max_weight) {
                     heaviest = Some((weight, *id));
                 }
             }
--- a/crates/routing-policy/src/state/key_orders.rs
+++ b/crates/routing-policy/src/state/key_orders.rs
@@ -1,70 +1,73 @@
-//! The servers in the order of a key (rendezvous hashing), the first of them kept for keys that come again.
+//! Rendezvous hashing: orders the servers for a key, and caches the first part of the order for recently used
+//! keys.
 
 use super::{PositionHash, unit_interval};
 use crate::interface::{Key, ServerId};
 
-/// About so many servers of a key's order are found at first, and this multiple each time that more are needed.
-const FIRST_SERVERS: u64 = 16;
+/// Approximate number of servers in the first segment of a key's order.
+const FIRST_SEGMENT_SERVERS: u64 = 16;
+/// Factor by which each further segment extends the covered hash range.
 const SEGMENT_GROWTH: u64 = 8;
-/// Keys whose first servers are kept: about 150 KB.
-const KEPT_KEYS: usize = 512;
-/// The kept servers of a key are found anew once changes of the fleet have made them so many.
-const MOST_KEPT_SERVERS: usize = 64;
-/// Changes of the fleet by more servers at once are not worked into what is kept.
-const MOST_CHANGES: usize = 32;
-
-/// A server's place in the order of a key.
+/// Number of keys whose first segment is cached. The cache takes about 150 KB.
+const CACHED_KEYS: usize = 512;
+/// A cached segment that list updates have grown beyond this many servers is discarded and computed again on
+/// the next use.
+const MAX_CACHED_SERVERS: usize = 64;
+/// A list update that adds and removes more servers than this in total clears the cache instead of patching it.
+const MAX_PATCHED_CHANGES: usize = 32;
+
+/// A server and its hash for a key.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Placement {
-    /// Servers are in the order of falling hashes.
+pub(crate) struct RankedServer {
+    /// A key's order is by descending hash.
     hash: u64,
-    /// The server.
     pub(crate) server: ServerId,
 }
 
-impl Placement {
-    /// The hash as a number between 0 and 1, the same for a few hashes that are next to each other.
+impl RankedServer {
+    /// The hash mapped to a number between 0 and 1. A few adjacent hashes map to the same number.
     pub(crate) fn draw(self) -> f64 {
         unit_interval(self.hash)
     }
 }
 
-/// Consecutive servers of a key's order.
+/// A contiguous segment of a key's order.
 pub(crate) struct OrderSegment {
-    /// Servers with falling hashes.
-    pub(crate) servers: Vec<Placement>,
-    /// All servers with lower hashes come later in the order, all others are in this segment or one before.
+    /// The servers of the segment by descending hash.
+    pub(crate) servers: Vec<RankedServer>,
+    /// Servers with lower hashes are in later segments; all others are in this segment or an earlier one.
     lower_bound: u64,
 }
 
 impl OrderSegment {
-    /// Whether no server is behind it.
+    /// Whether this segment ends the order.
     pub(crate) fn is_last(&self) -> bool {
         self.lower_bound == 0
     }
 
-    /// The draws of all servers behind it are at most this.
+    /// Upper bound of [`RankedServer::draw`] for all servers in later segments.
     pub(crate) fn most_draw_behind(&self) -> f64 {
         unit_interval(self.lower_bound)
     }
 }
 
-struct KeptOrder {
+struct CachedOrder {
     key: Key,
     first: OrderSegment,
 }
 
-/// The servers that may be chosen, and the first in the order of recent keys.
+/// The eligible servers, and a cache of the first segment for recently used keys.
 #[derive(Default)]
 pub(crate) struct KeyOrders {
-    /// In rising order, in one piece: each server is hashed for a key that is new.
+    /// Sorted by ID. Contiguous in memory, because a lookup of an uncached key hashes every server.
     servers: Vec<ServerId>,
-    /// By the remainder of the key; a key takes the place of another.
-    kept: Vec<Option<KeptOrder>>,
+    /// Direct-mapped cache indexed by the key modulo its size; a new entry replaces the previous one in its
+    /// slot.
+    cached: Vec<Option<CachedOrder>>,
 }
 
 impl KeyOrders {
-    /// Takes the servers that may be chosen from now on, in rising order.
+    /// Replaces the set of eligible servers, given in ascending order, and updates the cached segments.
     pub(crate) fn set_servers(&mut self, servers: Vec<ServerId>) {
         if servers == self.servers {
             return;
@@ -72,37 +75,38 @@
         let removed = difference(&self.servers, &servers);
         let added = difference(&servers, &self.servers);
         self.servers = servers;
-        if removed.len() + added.len() > MOST_CHANGES {
-            self.kept.clear();
+        if removed.len() + added.len() > MAX_PATCHED_CHANGES {
+            self.cached.clear();
             return;
         }
-        for slot in &mut self.kept {
+        for slot in &mut self.cached {
             let Some(order) = slot else { continue };
-            order.change(&removed, &added);
-            if order.first.servers.len() > MOST_KEPT_SERVERS {
+            order.apply_changes(&removed, &added);
+            if order.first.servers.len() > MAX_CACHED_SERVERS {
                 *slot = None;
             }
         }
     }
 
-    /// Takes out the first servers of a key's order, to be given back by [`KeyOrders::keep`].
+    /// Returns the first segment of a key's order and removes it from the cache. The caller puts it back with
+    /// [`KeyOrders::keep`].
     pub(crate) fn take_first(&mut self, key: Key) -> OrderSegment {
-        let kept = self.kept.get_mut(slot_of(key)).and_then(Option::take);
-        match kept.filter(|order| order.key == key) {
+        let cached = self.cached.get_mut(cache_slot(key)).and_then(Option::take);
+        match cached.filter(|order| order.key == key) {
             Some(order) => order.first,
             None => first_segment(&self.servers, key),
         }
     }
 
-    /// Keeps the first servers of a key's order for the next time.
+    /// Caches the first segment of a key's order.
     pub(crate) fn keep(&mut self, key: Key, first: OrderSegment) {
-        if self.kept.is_empty() {
-            self.kept.resize_with(KEPT_KEYS, || None);
+        if self.cached.is_empty() {
+            self.cached.resize_with(CACHED_KEYS, || None);
         }
-        self.kept[slot_of(key)] = Some(KeptOrder { key, first });
+        self.cached[cache_slot(key)] = Some(CachedOrder { key, first });
     }
 
-    /// The servers that follow a segment of a key's order.
+    /// Computes the segment that follows `segment` in a key's order.
     pub(crate) fn next_segment(&self, key: Key, segment: &OrderSegment) -> OrderSegment {
         let width = u64::MAX - segment.lower_bound;
         let lower_bound = u64::MAX - width.saturating_mul(SEGMENT_GROWTH);
@@ -111,58 +115,58 @@
     }
 }
 
-impl KeptOrder {
-    fn change(&mut self, removed: &[ServerId], added: &[ServerId]) {
+impl CachedOrder {
+    fn apply_changes(&mut self, removed: &[ServerId], added: &[ServerId]) {
         let first = &mut self.first;
         let is_removed = |server: &ServerId| removed.binary_search(server).is_ok();
-        first.servers.retain(|place| !is_removed(&place.server));
+        first.servers.retain(|ranked| !is_removed(&ranked.server));
         let segment = find_segment(added, self.key, first.lower_bound, u64::MAX);
         if !segment.servers.is_empty() {
             first.servers.extend(segment.servers);
-            sort(&mut first.servers);
+            sort_by_hash(&mut first.servers);
         }
     }
 }
 
-fn slot_of(key: Key) -> usize {
-    (key % KEPT_KEYS as u64) as usize
+fn cache_slot(key: Key) -> usize {
+    (key % CACHED_KEYS as u64) as usize
 }
 
 fn first_segment(servers: &[ServerId], key: Key) -> OrderSegment {
-    let part = u64::MAX / (servers.len() as u64).max(1);
-    let lower_bound = u64::MAX - part.saturating_mul(FIRST_SERVERS);
+    let range_per_server = u64::MAX / (servers.len() as u64).max(1);
+    let lower_bound = u64::MAX - range_per_server.saturating_mul(FIRST_SEGMENT_SERVERS);
     find_segment(servers, key, lower_bound, u64::MAX)
 }
 
-/// The servers whose hashes are from one bound to the other.
+/// Finds the servers whose hash is between the two bounds, inclusive, sorted by descending hash.
 fn find_segment(
     servers: &[ServerId],
     key: Key,
     lower_bound: u64,
     upper_bound: u64,
 ) -> OrderSegment {
-    let position = PositionHash::new(key);
+    let position_hash = PositionHash::new(key);
     let width = upper_bound - lower_bound;
-    let mut found = Vec::with_capacity(2 * FIRST_SERVERS as usize);
+    let mut found = Vec::with_capacity(2 * FIRST_SEGMENT_SERVERS as usize);
     for &server in servers {
-        let hash = position.of(server);
-        // One comparison for both bounds.
+        let hash = position_hash.of(server);
+        // Wrapping subtraction checks both bounds with one comparison.
         if hash.wrapping_sub(lower_bound) <= width {
-            found.push(Placement { hash, server });
+            found.push(RankedServer { hash, server });
         }
     }
-    sort(&mut found);
+    sort_by_hash(&mut found);
     OrderSegment {
         servers: found,
         lower_bound,
     }
 }
 
-fn sort(servers: &mut [Placement]) {
-    servers.sort_unstable_by_key(|place| (std::cmp::Reverse(place.hash), place.server));
+fn sort_by_hash(servers: &mut [RankedServer]) {
+    servers.sort_unstable_by_key(|ranked| (std::cmp::Reverse(ranked.hash), ranked.server));
 }
 
-/// What is in one rising list and not in another.
+/// Returns the servers that are in `servers` but not in `others`. Both are in ascending order.
 fn difference(servers: &[ServerId], others: &[ServerId]) -> Vec<ServerId> {
     let mut missing = Vec::new();
     let mut others = others.iter().peekable();
--- a/crates/routing-policy/src/state/key_share.rs
+++ b/crates/routing-policy/src/state/key_share.rs
@@ -1,34 +1,35 @@
-//! The share of its keys that a server, or all servers of a kind, is left.
+//! The fraction of its keys that a server, or every server of a machine kind, keeps.
 
-/// A share of keys, stored as the fraction that is routed past; a new one is whole.
+/// A fraction of keys. It is stored as the fraction that other servers receive, so that the default is a full
+/// share.
 #[derive(Default)]
 pub(crate) struct KeyShare {
-    routed_past: f64,
+    diverted: f64,
 }
 
 impl KeyShare {
-    /// The fraction of the keys that is left.
+    /// The fraction of the keys that is kept.
     pub(crate) fn get(&self) -> f64 {
-        1.0 - self.routed_past
+        1.0 - self.diverted
     }
 
-    /// Whether it is less than the whole.
+    /// Whether the share is below 1.
     pub(crate) fn is_reduced(&self) -> bool {
-        self.routed_past > 0.0
+        self.diverted > 0.0
     }
 
-    /// Multiplies the share by a factor, down to the least share.
-    pub(crate) fn cut(&mut self, factor: f64, least: f64) {
-        self.routed_past = (1.0 - self.get() * factor).min(1.0 - least);
+    /// Multiplies the share by `factor`, down to `min_share`.
+    pub(crate) fn cut(&mut self, factor: f64, min_share: f64) {
+        self.diverted = (1.0 - self.get() * factor).min(1.0 - min_share);
     }
 
-    /// Divides the share by a factor, up to the whole.
+    /// Divides the share by `factor`, up to 1.
     pub(crate) fn undo_cut(&mut self, factor: f64) {
-        self.routed_past = (1.0 - self.get() / factor).max(0.0);
+        self.diverted = (1.0 - self.get() / factor).max(0.0);
     }
 
-    /// Adds to the share, up to the whole.
+    /// Adds `fraction` to the share, up to 1.
     pub(crate) fn grow(&mut self, fraction: f64) {
-        self.routed_past = (self.routed_past - fraction).max(0.0);
+        self.diverted = (self.diverted - fraction).max(0.0);
     }
 }
--- a/crates/routing-policy/src/state/leaky_bucket.rs
+++ b/crates/routing-policy/src/state/leaky_bucket.rs
@@ -1,23 +1,23 @@
-//! A leaky bucket: a level that falls at a rate given when it is read.
+//! A leaky bucket whose leak rate is supplied on each read.
 
 use crate::interface::Micros;
 
-/// Recent attempts at a server, and how many it takes at once.
+/// The recent attempts at a server, and the limit on them.
 pub(crate) struct Burst {
-    /// The attempts that have not leaked away.
+    /// The bucket level: attempts that have not yet leaked away.
     pub(crate) attempts: f64,
-    /// As many as it takes.
+    /// The highest level of the bucket.
     pub(crate) depth: f64,
 }
 
 impl Burst {
-    /// Whether another attempt may come.
+    /// Whether another attempt is allowed.
     pub(crate) fn has_room(&self) -> bool {
         self.attempts < self.depth
     }
 }
 
-/// The level of a bucket at the time of its last change.
+/// Stores the level of the bucket as of its last change.
 #[derive(Default, Clone, Copy)]
 pub(crate) struct LeakyBucket {
     level: f64,
@@ -25,7 +25,7 @@
 }
 
 impl LeakyBucket {
-    /// A bucket with this level now.
+    /// Creates a bucket with the given level at `now`.
     pub(crate) fn new(level: f64, now: Micros) -> Self {
         LeakyBucket {
             level,
@@ -33,9 +33,9 @@
         }
     }
 
-    /// The level now, when it leaks this much per microsecond.
-    pub(crate) fn level(self, now: Micros, leak: f64) -> f64 {
-        let level = self.level - leak * (now - self.changed_at) as f64;
+    /// The level at `now`, given a leak rate per microsecond.
+    pub(crate) fn level(self, now: Micros, leak_per_us: f64) -> f64 {
+        let level = self.level - leak_per_us * (now - self.changed_at) as f64;
         level.max(0.0)
     }
 }
--- a/crates/routing-policy/src/state/machine_kind.rs
+++ b/crates/routing-policy/src/state/machine_kind.rs
@@ -1,31 +1,33 @@
-//! The record of one kind of machine.
+//! Statistics of one machine kind.
 
 use super::{KeyShare, RateEstimator};
 
-/// What was seen of all servers of one kind: one of many routers meets a server seldom, a kind often.
+/// Statistics over all servers of one machine kind. When there are many routers, each one rarely contacts a
+/// given server but often some server of its kind.
 #[derive(Default)]
 pub(crate) struct MachineKind {
-    /// The share of keys that its servers are left.
+    /// The fraction of its keys that each server of this kind keeps.
     pub(crate) key_share: KeyShare,
-    /// Its servers that are ready and warm.
+    /// Number of ready, warm servers of this kind.
     pub(crate) warm_servers: u32,
-    /// The answers that each of these gives this router.
+    /// Rate of responses that this router receives per warm server.
     pub(crate) answers_per_server: RateEstimator,
-    judged: f64,
+    judged_attempts: f64,
 }
 
 impl MachineKind {
-    /// Counts an answer in good time of one of its warm servers.
+    /// Counts a response in time from a warm server of this kind.
     pub(crate) fn count_warm_answer(&mut self) {
         if self.warm_servers > 0 {
-            let part = 1.0 / f64::from(self.warm_servers);
-            self.answers_per_server.count(part);
+            let count_per_server = 1.0 / f64::from(self.warm_servers);
+            self.answers_per_server.count(count_per_server);
         }
     }
 
-    /// The step for which the next attempt counts: it falls from one to the least over a number of attempts.
-    pub(crate) fn next_step(&mut self, least: f64, attempts: f64) -> f64 {
-        self.judged += 1.0;
-        least.max(1.0 - (1.0 - least) * self.judged / attempts)
+    /// Step size for adjusting the key share at the next attempt. It falls linearly from 1 to `min_step` over
+    /// the first `ramp_attempts` attempts.
+    pub(crate) fn next_step(&mut self, min_step: f64, ramp_attempts: f64) -> f64 {
+        self.judged_attempts += 1.0;
+        min_step.max(1.0 - (1.0 - min_step) * self.judged_attempts / ramp_attempts)
     }
 }
--- a/crates/routing-policy/src/state/majority_vote.rs
+++ b/crates/routing-policy/src/state/majority_vote.rs
@@ -1,6 +1,6 @@
-//! The value that most of a stream have, by the majority vote of Boyer and Moore.
+//! Finds the majority value of a stream with the Boyer–Moore majority vote algorithm.
 
-/// A candidate and its votes beyond those against it.
+/// The current candidate, and the votes for it minus those against it.
 #[derive(Default, Clone)]
 pub(crate) struct MajorityVote {
     candidate: u64,
@@ -8,12 +8,12 @@
 }
 
 impl MajorityVote {
-    /// Takes a value, which is for the candidate within the tolerance; tells whether it is. At most so many
-    /// votes are kept, so that a change is noticed.
-    pub(crate) fn take(&mut self, value: u64, tolerance: f64, most_votes: u32) -> bool {
+    /// Counts a value and returns whether it agrees with the candidate within the tolerance. The count is
+    /// capped at `max_votes`, so that a change of the majority value is detected soon.
+    pub(crate) fn take(&mut self, value: u64, tolerance: f64, max_votes: u32) -> bool {
         let agrees = value.abs_diff(self.candidate) as f64 <= tolerance;
         if agrees {
-            self.votes = (self.votes + 1).min(most_votes);
+            self.votes = (self.votes + 1).min(max_votes);
         } else if self.votes == 0 {
             self.candidate = value;
             self.votes = 1;
@@ -23,7 +23,7 @@
         agrees
     }
 
-    /// Votes for the candidate beyond those against it.
+    /// Votes for the candidate minus votes against it.
     pub(crate) fn votes(&self) -> u32 {
         self.votes
     }
--- a/crates/routing-policy/src/state/origin_calls.rs
+++ b/crates/routing-policy/src/state/origin_calls.rs
@@ -1,9 +1,9 @@
-//! The calls to the origin that are outstanding, and those of the present window.
+//! Counts calls to the origin: those outstanding, and those sent in the current window.
 
 use super::CallKind;
 use crate::interface::Micros;
 
-/// How many calls there are, and how many fetches among them.
+/// A number of calls, and how many of them are fetches.
 #[derive(Default)]
 pub(crate) struct CallCounts {
     all: u32,
@@ -21,53 +21,53 @@
         self.fetches -= u32::from(call == CallKind::OriginFetch);
     }
 
-    /// Whether one more call of any kind is within a limit.
+    /// Whether one more call of any kind stays within `limit`.
     pub(crate) fn has_room(&self, limit: f64) -> bool {
         f64::from(self.all + 1) <= limit
     }
 
-    /// Whether one more fetch is within a limit.
+    /// Whether one more fetch stays within `limit`.
     pub(crate) fn has_fetch_room(&self, limit: f64) -> bool {
         f64::from(self.fetches + 1) <= limit
     }
 
-    /// Whether there are no calls but fetches.
+    /// Whether all counted calls are fetches.
     pub(crate) fn has_only_fetches(&self) -> bool {
         self.all == self.fetches
     }
 }
 
-/// Outstanding calls and the tally of a window of time.
+/// Counts of outstanding calls and of calls sent in the current time window.
 #[derive(Default)]
 pub(crate) struct OriginCalls {
     outstanding: CallCounts,
-    tally: CallCounts,
+    window_counts: CallCounts,
     window_start: Micros,
 }
 
 impl OriginCalls {
-    /// Counts a call that is sent.
+    /// Counts a call when it is sent.
     pub(crate) fn begin(&mut self, call: CallKind) {
         self.outstanding.add(call);
-        self.tally.add(call);
+        self.window_counts.add(call);
     }
 
-    /// Counts the end of a call.
+    /// Removes a call from the outstanding count when it ends.
     pub(crate) fn end(&mut self, call: CallKind) {
         self.outstanding.remove(call);
     }
 
-    /// The calls without outcome.
+    /// The calls that have no outcome yet.
     pub(crate) fn outstanding(&self) -> &CallCounts {
         &self.outstanding
     }
 
-    /// The calls sent in the present window; a new window begins where that one is over.
+    /// The calls sent in the current window. Starts a new window if the current one is over.
     pub(crate) fn tally(&mut self, now: Micros, window: Micros) -> &CallCounts {
         if now >= self.window_start + window {
             self.window_start = now;
-            self.tally = CallCounts::default();
+            self.window_counts = CallCounts::default();
         }
-        &self.tally
+        &self.window_counts
     }
 }
--- a/crates/routing-policy/src/state/position_hash.rs
+++ b/crates/routing-policy/src/state/position_hash.rs
@@ -1,20 +1,21 @@
-//! The hash that fixes the position of each server in a key's order, in the form for one key and many servers.
+//! The hash that determines each server's position in a key's rendezvous order, optimized for hashing one key
+//! with many servers.
 
 use super::Purpose;
 use crate::interface::{Key, ServerId};
 
-/// Constants of XXH3 for an input of 9 to 16 bytes: words of its secret, combined in pairs, and the factor of
-/// its last step.
+/// XXH3 constants for inputs of 9 to 16 bytes: pairs of words of the default secret, each combined by XOR, and
+/// the multiplier of the final avalanche step.
 const LOW_SECRET: u64 = 0x6782_737b_ea42_39b9;
 const HIGH_SECRET: u64 = 0xaf56_bc3b_0996_523a;
 const AVALANCHE_FACTOR: u64 = 0x1656_6791_9e37_79f9;
 
-/// Bytes of a key and a server.
+/// Length of the hash input: a key followed by a server ID.
 const INPUT_BYTES: u64 = 12;
 
-/// The hash of one key and any server: the same value as [`unit_hash`](super::unit_hash) draws from. What
-/// depends on the key alone is computed once, which leaves two multiplications a server: a fifth of the time that
-/// the general function takes.
+/// Hashes one key with any server. The result equals the hash that [`unit_hash`](super::unit_hash) maps to a
+/// number. The part that depends on the key alone is computed once, which leaves two multiplications per
+/// server. This takes a fifth of the time of the general function.
 #[derive(Clone, Copy)]
 pub(crate) struct PositionHash {
     low: u64,
@@ -23,7 +24,7 @@
 }
 
 impl PositionHash {
-    /// The hash for one key.
+    /// Precomputes the part of the hash that depends on the key.
     pub(crate) fn new(key: Key) -> Self {
         let seed = Purpose::Position as u64;
         let low = key ^ LOW_SECRET.wrapping_add(seed);
@@ -34,7 +35,7 @@
         }
     }
 
-    /// The hash of the key and a server.
+    /// Returns the hash of the key and `server`.
     pub(crate) fn of(self, server: ServerId) -> u64 {
         let high = self.high ^ (u64::from(server) << u32::BITS);
         let product = u128::from(self.low) * u128::from(high);
--- a/crates/routing-policy/src/state/random.rs
+++ b/crates/routing-policy/src/state/random.rs
@@ -1,17 +1,17 @@
-//! The policy's source of random numbers.
+//! The policy's random number generator.
 
 use oorandom::Rand64;
 
-/// Random numbers that depend on the seed alone.
+/// A deterministic random number generator: the sequence depends on the seed alone.
 pub(crate) struct Random(Rand64);
 
 impl Random {
-    /// A source with a seed.
+    /// Creates a generator from a seed.
     pub(crate) fn new(seed: u64) -> Self {
         Random(Rand64::new(seed.into()))
     }
 
-    /// A number from 0 to below 1.
+    /// Returns a uniform random number in [0, 1).
     pub(crate) fn unit(&mut self) -> f64 {
         self.0.rand_float()
     }
--- a/crates/routing-policy/src/state/rate_estimator.rs
+++ b/crates/routing-policy/src/state/rate_estimator.rs
@@ -1,15 +1,16 @@
-//! The rate of events, smoothed over a short and a long time.
+//! Event rates, smoothed over a short and a long time scale.
 
 use crate::interface::Micros;
 
-/// The time over which the long-term rate is smoothed, seconds.
+/// Averaging time of the long-term rate, in seconds.
 const LONG_TERM_S: f64 = 30.0;
 
-/// Events per second, smoothed over about a second, and over half a minute or the time since the start.
+/// Exponentially weighted moving averages of a rate in events per second. The short-term average covers about
+/// one second. The long-term average covers half a minute, or the time since the start if that is shorter.
 #[derive(Default)]
 pub(crate) struct RateEstimator {
-    counted: f64,
-    seconds: f64,
+    period_events: f64,
+    averaged_s: f64,
     short_term: f64,
     long_term: f64,
 }
@@ -17,7 +18,7 @@
 impl RateEstimator {
     /// Counts an event, or a fraction of one.
     pub(crate) fn count(&mut self, events: f64) {
-        self.counted += events;
+        self.period_events += events;
     }
 
     /// Events per second over about the last second.
@@ -25,18 +26,18 @@
         self.short_term
     }
 
-    /// Events per second over about the last half minute.
+    /// Events per second over about the last 30 s.
     pub(crate) fn long_term(&self) -> f64 {
         self.long_term
     }
 
-    /// Takes what was counted in a period into the rates.
+    /// Updates both rates with the events counted in a period, and starts the next period.
     pub(crate) fn end_period(&mut self, period: Micros) {
-        let seconds = period as f64 / 1e6;
-        let rate = self.counted / seconds;
-        self.seconds = (self.seconds + seconds).min(LONG_TERM_S);
-        self.short_term += (rate - self.short_term) * seconds.min(1.0);
-        self.long_term += (rate - self.long_term) * seconds / self.seconds;
-        self.counted = 0.0;
+        let period_s = period as f64 / 1e6;
+        let rate = self.period_events / period_s;
+        self.averaged_s = (self.averaged_s + period_s).min(LONG_TERM_S);
+        self.short_term += (rate - self.short_term) * period_s.min(1.0);
+        self.long_term += (rate - self.long_term) * period_s / self.averaged_s;
+        self.period_events = 0.0;
     }
 }
--- a/crates/routing-policy/src/state/recent_keys.rs
+++ b/crates/routing-policy/src/state/recent_keys.rs
@@ -1,23 +1,23 @@
-//! The keys last asked for.
+//! The most recently requested keys.
 
 use std::collections::VecDeque;
 
 use crate::interface::Key;
 
-/// The latest keys, up to a number of them.
+/// A bounded list of the most recently requested keys.
 #[derive(Default)]
 pub(crate) struct RecentKeys {
     latest_first: VecDeque<Key>,
 }
 
 impl RecentKeys {
-    /// Adds a key and forgets the oldest beyond the most.
-    pub(crate) fn add(&mut self, key: Key, most: usize) {
+    /// Adds a key and drops the oldest ones beyond `max_keys`.
+    pub(crate) fn add(&mut self, key: Key, max_keys: usize) {
         self.latest_first.push_front(key);
-        self.latest_first.truncate(most);
+        self.latest_first.truncate(max_keys);
     }
 
-    /// Whether a key is there twice or more.
+    /// Whether the list contains a key at least twice.
     pub(crate) fn has_repeated(&self, key: Key) -> bool {
         let same = self.latest_first.iter().filter(|recent| **recent == key);
         same.count() > 1
--- a/crates/routing-policy/src/state/request.rs
+++ b/crates/routing-policy/src/state/request.rs
@@ -1,58 +1,59 @@
-//! Records of the requests and attempts in flight.
+//! State of the requests and attempts in flight.
 
 use super::Deferral;
 use crate::interface::{AttemptStatus, Key, Micros, Request, RequestId, ServerId};
 
-/// A request that is owed a final answer.
+/// A request that has not had its final response.
 #[derive(Default)]
 pub(crate) struct InFlightRequest {
-    /// Position of its class in the settings.
+    /// Index of its class in the settings.
     pub(crate) class: usize,
     /// Its key, 0 for none.
     pub(crate) key: Key,
-    /// Whether it goes to the origin at once.
+    /// Whether it is a write, which goes directly to the origin.
     pub(crate) is_write: bool,
-    /// Whether a cache server has answered that it holds nothing.
+    /// Whether a cache server has reported a miss.
     pub(crate) missed: bool,
-    /// The tenant whose quota was charged for it.
+    /// Index of the tenant whose quota was charged for it.
     pub(crate) charged_tenant: Option<usize>,
-    /// Until when an answer earns anything: its objective, or its deadline where late answers count.
+    /// The time until which a response still has value: its latency objective, or its deadline if late
+    /// responses count.
     pub(crate) useful_until: Micros,
-    /// When its final answer is due.
+    /// The time by which its final response is due.
     pub(crate) deadline_at: Micros,
-    /// Attempts made.
+    /// Number of attempts sent.
     pub(crate) attempts_sent: u16,
-    /// Attempts without outcome.
+    /// Number of attempts in flight.
     pub(crate) attempts_in_flight: u16,
-    /// Cache servers not to be tried again.
+    /// Cache servers that must not be tried again.
     pub(crate) excluded_servers: Vec<ServerId>,
-    /// Number of its latest deferral.
+    /// Number of its latest deferral, 0 for none.
     pub(crate) deferral: u32,
-    /// Attempts that run or may have run, oldest first.
+    /// Attempts that are running or may have run, oldest first.
     pub(crate) possibly_executed: Vec<PossibleExecution>,
 }
 
-/// An attempt that runs or may have run.
+/// An attempt that is running or may have run.
 pub(crate) struct PossibleExecution {
     number: u16,
     /// When it was sent.
     pub(crate) sent_at: Micros,
-    /// Where it was sent.
+    /// The server that it was sent to.
     pub(crate) server: ServerId,
 }
 
 impl InFlightRequest {
-    /// A request as it arrives; its times are still to be set.
-    pub(crate) fn new(arrived: &Request) -> Self {
+    /// Creates the record of a request that has arrived. The caller sets its times.
+    pub(crate) fn new(request: &Request) -> Self {
         InFlightRequest {
-            class: arrived.class,
-            key: arrived.key,
-            is_write: arrived.write,
+            class: request.class,
+            key: request.key,
+            is_write: request.write,
             ..InFlightRequest::default()
         }
     }
 
-    /// Notes that an attempt is sent, and returns its number.
+    /// Records that an attempt is sent, and returns its number.
     pub(crate) fn begin_attempt(&mut self, server: ServerId, now: Micros) -> u16 {
         let number = self.attempts_sent;
         self.attempts_sent += 1;
@@ -65,7 +66,7 @@
         number
     }
 
-    /// Notes the outcome of an attempt.
+    /// Records the outcome of an attempt.
     pub(crate) fn end_attempt(&mut self, number: u16, status: AttemptStatus) {
         self.attempts_in_flight -= 1;
         if status.proves_not_run() {
@@ -75,7 +76,7 @@
         self.missed |= status == AttemptStatus::Miss;
     }
 
-    /// The call that it makes at the origin.
+    /// The kind of call that this request makes to the origin.
     pub(crate) fn origin_call(&self) -> CallKind {
         if self.is_write {
             CallKind::OriginWrite
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Begins a new deferral.
+    /// Starts a new deferral, which replaces earlier ones.
     pub(crate) fn next_deferral(&mut self, id: RequestId) -> Deferral {
         self.deferral += 1;
         Deferral {
@@ -94,7 +95,7 @@
     }
 }
 
-/// Names an attempt.
+/// Identifies an attempt.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptId {
     /// Its request.
@@ -104,42 +105,42 @@
 }
 
 impl AttemptId {
-    /// The name of a request's attempt.
+    /// Creates the ID of one attempt of a request.
     pub(crate) fn new(request: RequestId, number: u16) -> Self {
         AttemptId { request, number }
     }
 }
 
-/// What an attempt is for.
+/// The kind of operation that an attempt performs.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum CallKind {
-    /// A read at a cache server.
+    /// A read from a cache server.
     CacheRead,
-    /// A read at the origin after a miss.
+    /// A read from the origin after a cache miss.
     OriginFetch,
-    /// A write at the origin.
+    /// A write to the origin.
     OriginWrite,
 }
 
-/// An attempt without outcome; it may outlive its request.
+/// An attempt in flight. It may outlive its request.
 #[derive(Clone, Copy)]
 pub(crate) struct Attempt {
-    /// Where it was sent.
+    /// The server that it was sent to.
     pub(crate) server: ServerId,
-    /// What it is for.
+    /// The kind of operation.
     pub(crate) call: CallKind,
-    /// When it was sent, or written where it had to wait for a connection.
+    /// When it was sent or, if it had to wait for a connection, when it was written.
     pub(crate) sent_at: Micros,
-    /// The latency objective of its class.
+    /// The latency objective of the request's class.
     pub(crate) objective: Micros,
-    /// It is slow once it has been in flight for this long.
+    /// The attempt counts as slow once it has been in flight for this long.
     pub(crate) slow_after: Micros,
-    /// It waits for a connection, which tells nothing of its server's load.
+    /// Whether it is waiting for a connection. That wait says nothing about the load of its server.
     pub(crate) connecting: bool,
 }
 
 impl Attempt {
-    /// An attempt that is sent now.
+    /// Creates an attempt that is sent at `now`.
     pub(crate) fn new(
         server: ServerId,
         call: CallKind,
@@ -157,12 +158,12 @@
         }
     }
 
-    /// Whether it is a read at a cache server.
+    /// Whether this is a read from a cache server.
     pub(crate) fn is_cache_read(&self) -> bool {
         self.call == CallKind::CacheRead
     }
 
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub(crate) fn elapsed(&self, now: Micros) -> Micros {
         now - self.sent_at
     }
--- a/crates/routing-policy/src/state/request_rate.rs
+++ b/crates/routing-policy/src/state/request_rate.rs
@@ -1,9 +1,9 @@
-//! The rate of requests that a router has to serve.
+//! The request rate that a router has to serve.
 
 use super::RateEstimator;
 use crate::interface::{Micros, Settings};
 
-/// This router's equal part of all quotas, and the rate of the requests that it admits.
+/// This router's equal share of the sum of all quotas, and the rate of requests that it admits.
 #[derive(Default)]
 pub(crate) struct RequestRate {
     quota_share: f64,
@@ -11,7 +11,7 @@
 }
 
 impl RequestRate {
-    /// The rate by these settings, before any request.
+    /// Creates the state from the settings. The admitted rate starts at 0.
     pub(crate) fn new(settings: &Settings) -> Self {
         let quotas: f64 = settings.tenants.iter().map(|t| t.quota_per_s).sum();
         RequestRate {
@@ -20,7 +20,7 @@
         }
     }
 
-    /// This router's equal part of all quotas; 0 where there are none.
+    /// This router's equal share of the sum of all quotas, in requests per second; 0 if there are no tenants.
     pub(crate) fn quota_share(&self) -> f64 {
         self.quota_share
     }
@@ -30,17 +30,17 @@
         self.admitted.short_term()
     }
 
-    /// Requests admitted per second, over about the last half minute.
+    /// Requests admitted per second, over about the last 30 s.
     pub(crate) fn admitted_usually(&self) -> f64 {
         self.admitted.long_term()
     }
 
-    /// Counts a request that was admitted.
+    /// Counts an admitted request.
     pub(crate) fn count(&mut self) {
         self.admitted.count(1.0);
     }
 
-    /// Takes what was counted in a period into the rates.
+    /// Updates the rates with the requests counted in the period that ends.
     pub(crate) fn end_period(&mut self, period: Micros) {
         self.admitted.end_period(period);
     }
--- a/crates/routing-policy/src/state/server.rs
+++ b/crates/routing-policy/src/state/server.rs
@@ -1,85 +1,86 @@
-//! The record of one server.
+//! State of one server.
 
 use super::{KeyShare, LeakyBucket, SmoothedTime};
 use crate::interface::{DeduplicationScope, Endpoint, EndpointState, Micros};
 
-/// Below this a weight is taken for it, as it divides.
+/// Lower bound on a weight that is used as a divisor.
 const MIN_WEIGHT: f32 = 1e-3;
 
-/// An ejection of a server.
+/// The ejection of a server from the candidates for requests.
 #[derive(Clone, Copy)]
 pub(crate) struct Ejection {
-    /// When its time is over.
+    /// When the ejection ends.
     pub(crate) until: Micros,
-    /// How long it lasts.
+    /// Duration of the ejection.
     pub(crate) time: Micros,
 }
 
-/// A server of the endpoint list, and what this router has seen of it.
+/// A server of the endpoint list, and what this router has observed of it.
 #[derive(Default)]
 pub(crate) struct Server {
-    /// Its line of the list.
+    /// Its entry in the endpoint list.
     pub(crate) endpoint: Endpoint,
     /// Whether it is the origin.
     pub(crate) is_origin: bool,
-    /// The highest weight seen; where weights fall with load, that of the idle server.
+    /// The highest weight seen. If weights fall with load, this is the weight of the idle server.
     pub(crate) idle_weight: f32,
-    /// Attempts of this router without outcome.
+    /// Number of attempts of this router in flight there.
     pub(crate) in_flight: u32,
-    /// When it last answered.
+    /// Time of its last response.
     pub(crate) answered_at: Micros,
-    /// Its answers within about one objective, as a decaying count at `answered_at`.
+    /// Count of its responses, as of `answered_at`. The count decays exponentially with a time constant of one
+    /// latency objective.
     pub(crate) answers: f64,
-    /// About the least time in which it serves, the network included.
+    /// Approximately its shortest response time, including the network.
     pub(crate) fastest: SmoothedTime,
-    /// The share of its keys that it is left.
+    /// The fraction of its keys that it keeps.
     pub(crate) key_share: KeyShare,
-    /// Steps by which its kind was reduced since its last answer in good time.
+    /// Total of the steps by which it has reduced its machine kind's key share since its last response in time.
     pub(crate) kind_steps: f64,
-    /// Failures with no answer between them, less one for each answer since.
+    /// Up-down count of failures: each failure adds one, each response subtracts one, not below 0.
     pub(crate) consecutive_failures: u32,
-    /// Whether the last failure was one to connect.
+    /// Whether its last failure was a failure to connect.
     pub(crate) unreachable: bool,
-    /// Its ejection, over or not, until it answers.
+    /// Its ejection. It remains set after its end, until the server responds.
     pub(crate) ejection: Option<Ejection>,
-    /// Recent attempts at it, for its slow start.
+    /// Recent attempts at this server, which slow start limits.
     pub(crate) slow_start: LeakyBucket,
 }
 
 impl Server {
-    /// Whether it is a cache server that may get requests.
+    /// Whether it is a cache server that may receive requests.
     pub(crate) fn is_ready_cache(&self) -> bool {
         self.endpoint.state == EndpointState::Ready && !self.is_origin
     }
 
-    /// Counts an answer to an attempt with this objective.
+    /// Counts a response to an attempt with the given latency objective.
     pub(crate) fn count_answer(&mut self, now: Micros, objective: Micros) {
         self.answers = 1.0 + self.recent_answers(now, objective);
         self.answered_at = now;
     }
 
-    /// Takes one failure off the count.
+    /// Reduces the count of consecutive failures by one.
     pub(crate) fn forgive_failure(&mut self) {
         self.consecutive_failures = self.consecutive_failures.saturating_sub(1);
     }
 
-    /// Its answers as they count now, decaying over a span.
-    pub(crate) fn recent_answers(&self, now: Micros, span: Micros) -> f64 {
-        self.answers * (-((now - self.answered_at) as f64) / span as f64).exp()
+    /// The count of its responses, decayed to `now` with the given time constant.
+    pub(crate) fn recent_answers(&self, now: Micros, time_constant: Micros) -> f64 {
+        self.answers * (-((now - self.answered_at) as f64) / time_constant as f64).exp()
     }
 
-    /// Requests in flight there for each core, from all routers, as far as its weight tells.
+    /// Requests in flight at the server per core, from all routers, as derived from its weight.
     pub(crate) fn requests_per_core(&self) -> f64 {
         f64::from(self.idle_weight / self.endpoint.weight.max(MIN_WEIGHT) - 1.0).max(0.0)
     }
 
-    /// Whether it is past the time in which a started process warms up.
+    /// Whether the warm-up period since the start of its process has passed.
     pub(crate) fn is_warm(&self, now: Micros, warm_up_period: Micros) -> bool {
         self.endpoint.started.saturating_add(warm_up_period) <= now
     }
 
-    /// Whether two servers know of each other's requests with idempotency keys. The origin is a group of its
-    /// own: cache servers do not know what it has seen.
+    /// Whether two servers share the idempotency keys that they have seen. The origin forms a group of its own,
+    /// because cache servers do not know which keys it has seen.
     pub(crate) fn deduplicates_with(&self, other: &Server, scope: DeduplicationScope) -> bool {
         let (this, that) = (&self.endpoint, &other.endpoint);
         match scope {
--- a/crates/routing-policy/src/state/tenant_quota.rs
+++ b/crates/routing-policy/src/state/tenant_quota.rs
@@ -3,16 +3,16 @@
 use super::TokenBucket;
 use crate::interface::Settings;
 
-/// A tenant's quota over all routers, and what is left of this router's part of it.
+/// A tenant's quota over all routers, and the token bucket for this router's share of it.
 pub(crate) struct TenantQuota {
-    /// Requests per second.
+    /// The quota in requests per second, over all routers.
     pub(crate) per_s: f64,
-    /// Requests that may come at once.
+    /// Requests that this router may still admit at once.
     pub(crate) bucket: TokenBucket,
 }
 
 impl TenantQuota {
-    /// The quotas of all tenants; an unlimited one where there are none.
+    /// The quotas of all tenants, or a single unlimited one if there are no tenants.
     pub(crate) fn of_all(settings: &Settings) -> Vec<TenantQuota> {
         let quota = |per_s| TenantQuota {
             per_s,
--- a/crates/routing-policy/src/state/timer_queue.rs
+++ b/crates/routing-policy/src/state/timer_queue.rs
@@ -1,4 +1,4 @@
-//! The policy's timers, all behind one timer of the router.
+//! The policy's timers, multiplexed onto a single timer of the router.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -6,31 +6,31 @@
 use super::AttemptId;
 use crate::interface::{Action, Micros, RequestId};
 
-/// What a timer is for. Timers due at the same time fire in the order of this type.
+/// The purpose of a timer. Timers due at the same time fire in the order of this type.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// The objective or the deadline of a request.
+    /// A request has reached its latency objective or its deadline.
     RequestDue(RequestId),
-    /// A deferred call of a request is to be tried again.
+    /// A request's deferred call is due to be tried again.
     Deferred(Deferral),
     /// An attempt may have become slow.
     AttemptSlow(AttemptId),
-    /// Discovery is to be called.
+    /// A call to discovery is due.
     Subscribe,
     /// The periodic review is due.
     Review,
 }
 
-/// One deferral of a request's call.
+/// One deferral of a request's call to the origin.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Deferral {
     /// The request.
     pub(crate) request: RequestId,
-    /// Number of the deferral; the timer of an earlier one has no effect.
+    /// Number of the deferral. The timer of an earlier deferral has no effect.
     pub(crate) number: u32,
 }
 
-/// Timers in the order of their times.
+/// A priority queue of timers by due time.
 #[derive(Default)]
 pub(crate) struct TimerQueue {
     queue: BinaryHeap<Reverse<(Micros, Timer)>>,
@@ -38,17 +38,18 @@
 }
 
 impl TimerQueue {
-    /// Sets a timer.
+    /// Adds a timer that is due at `time`.
     pub(crate) fn set(&mut self, time: Micros, timer: Timer) {
         self.queue.push(Reverse((time, timer)));
     }
 
-    /// The router's timer has fired.
+    /// Records that the router's timer has fired.
     pub(crate) fn fired(&mut self) {
         self.armed = None;
     }
 
-    /// The next timer that is due; when none is, sees that the router's timer is set for the first to come.
+    /// Removes and returns the next timer that is due. If none is due, makes sure that the router's timer is
+    /// set for the earliest pending one.
     pub(crate) fn next_due(&mut self, now: Micros, actions: &mut Vec<Action>) -> Option<Timer> {
         let &Reverse((time, timer)) = self.queue.peek()?;
         if time <= now {
--- a/crates/routing-policy/src/state/token_bucket.rs
+++ b/crates/routing-policy/src/state/token_bucket.rs
@@ -1,32 +1,34 @@
-//! A token bucket that is filled when it is looked at.
+//! A token bucket that is refilled on access.
 
 use crate::interface::Micros;
 
-/// Tokens up to a depth; rate and depth are given at each filling, as they change.
+/// Stores the tokens and the time of the last refill. Rate and depth are supplied on each refill, because they
+/// change.
 #[derive(Default, Clone)]
 pub(crate) struct TokenBucket {
     tokens: f64,
-    filled_at: Micros,
+    refilled_at: Micros,
 }
 
 impl TokenBucket {
-    /// Adds what a rate per second has yielded since the last filling, and tells whether a token is there.
+    /// Adds the tokens that have accrued since the last refill, up to `depth`. Returns whether at least one
+    /// token is available.
     pub(crate) fn fill(&mut self, now: Micros, per_s: f64, depth: f64) -> bool {
-        let added = per_s.max(0.0) * now.saturating_sub(self.filled_at) as f64 / 1e6;
-        // An unlimited rate over no time at all is not a number.
+        let added = per_s.max(0.0) * now.saturating_sub(self.refilled_at) as f64 / 1e6;
+        // An infinite rate times zero elapsed time is NaN.
         if !added.is_nan() {
             self.tokens = (self.tokens + added).min(depth);
         }
-        self.filled_at = now;
+        self.refilled_at = now;
         self.tokens >= 1.0
     }
 
-    /// Takes a token, or the rest where there is no whole one.
+    /// Removes one token, or the remaining fraction if there is less than one.
     pub(crate) fn take(&mut self) {
         self.tokens = (self.tokens - 1.0).max(0.0);
     }
 
-    /// Gives a token back.
+    /// Returns one token to the bucket.
     pub(crate) fn give_back(&mut self) {
         self.tokens += 1.0;
     }
