--- a/crates/routing-policy/examples/request_cost.rs
+++ b/crates/routing-policy/examples/request_cost.rs
@@ -1,5 +1,7 @@
-//! Prints what a request costs the policy before fleets of several sizes, for keys that are new and keys that
-//! come again, and what its regular review of the load and a change of the list cost: `cargo run --release -p routing-policy --example request_cost`.
+//! Benchmarks the policy for fleets of several sizes: the cost of a request, for new and for repeated keys, of the
+//! periodic review of the load, and of a change of the endpoint list.
+//!
+//! Run with `cargo run --release -p routing-policy --example request_cost`.
 
 use std::time::Instant;
 
@@ -8,22 +10,22 @@
     LoadReport, Policy, Request, RequestClass, Settings,
 };
 
-const FLEETS: [u32; 4] = [3, 24, 666, 3_200];
+const FLEET_SIZES: [u32; 4] = [3, 24, 666, 3_200];
 const REQUESTS: u64 = 20_000;
-/// Runs of which the fastest counts: others are slowed by what else the machine does.
+/// Number of runs. The fastest one is reported, because other activity on the machine slows down runs.
 const RUNS: u64 = 7;
-/// Of keys that come again.
+/// Number of distinct keys in the measurement of repeated keys.
 const REPEATED_KEYS: u64 = 100;
-const REQUEST_INTERVAL: u64 = 20_000;
+const CLOCK_STEP: u64 = 20_000;
 const KINDS: u32 = 3;
 const REVIEWS: u64 = 500;
-/// The policy reviews its load eight times in an objective, here of 0.75 s.
+/// The policy reviews its load eight times per latency objective, which is 0.75 s here.
 const REVIEW_INTERVAL: u64 = 94_000;
-const START: u64 = 60_000_000;
+const START_TIME: u64 = 60_000_000;
 
 fn main() {
     println!("servers   new key   repeated key      review   list change   (nanoseconds)");
-    for servers in FLEETS {
+    for servers in FLEET_SIZES {
         let new_key = fastest_run(servers, |number| number.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let repeated_key = fastest_run(servers, |number| 1 + number % REPEATED_KEYS);
         let review = fastest(|| nanoseconds_per_review(servers));
@@ -48,7 +50,7 @@
     }
 }
 
-/// A policy that knows a fleet.
+/// A policy that has received an endpoint list with this many servers.
 fn policy(servers: u32) -> Policy {
     let class = RequestClass {
         latency_objective: 750_000,
@@ -64,7 +66,7 @@
         update: ListUpdate::Cached,
         endpoints: (1..=servers).map(endpoint).collect(),
     };
-    policy.handle(START, list, &mut Vec::new());
+    policy.handle(START_TIME, list, &mut Vec::new());
     policy
 }
 
@@ -75,7 +77,7 @@
     for number in 1..=REVIEWS {
         actions.clear();
         policy.handle(
-            START + number * REVIEW_INTERVAL,
+            START_TIME + number * REVIEW_INTERVAL,
             Event::Timer(0),
             &mut actions,
         );
@@ -100,25 +102,26 @@
                 ..endpoint(1)
             }],
         };
-        policy.handle(START, change, &mut actions);
+        policy.handle(START_TIME, change, &mut actions);
     }
     start.elapsed().as_nanos() as f64 / REVIEWS as f64
 }
 
 fn nanoseconds_per_request(servers: u32, key_of: impl Fn(u64) -> u64) -> f64 {
     let mut policy = policy(servers);
-    let mut now = START;
+    let mut now = START_TIME;
     let mut actions = Vec::new();
     let start = Instant::now();
-    // One clock value for all: timers, which have their own costs, do not come due.
+    // The clock advances only once per 1,000 requests, so that few timers come due. These have costs of their
+    // own.
     for id in 1..=REQUESTS {
-        now += u64::from(id % 1_000 == 0) * REQUEST_INTERVAL;
+        now += u64::from(id % 1_000 == 0) * CLOCK_STEP;
         serve(&mut policy, now, id, key_of(id), &mut actions);
     }
     start.elapsed().as_nanos() as f64 / REQUESTS as f64
 }
 
-/// A request that its server answers at once.
+/// Handles a request that its server serves at once.
 fn serve(policy: &mut Policy, now: u64, id: u64, key: u64, actions: &mut Vec<Action>) {
     let request = Request {
         id,
--- a/crates/routing-policy/tests/common/mod.rs
+++ b/crates/routing-policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Set-up shared by the tests: a router in miniature, which drives a policy event by event and keeps its actions.
+//! Shared test harness: a minimal router that feeds events to a policy and records the actions that it returns.
 #![allow(
     dead_code,
     missing_docs,
@@ -27,17 +27,17 @@
         deadline: 1500 * MS,
         ..RequestClass::default()
     };
-    let keyed = Idempotency::Deduplicated {
+    let deduplicated = Idempotency::Deduplicated {
         scope: DeduplicationScope::All,
         window: 200 * MS,
     };
     let write = RequestClass {
         latency_objective: 150 * MS,
         deadline: 300 * MS,
-        idempotency: keyed,
+        idempotency: deduplicated,
         ..RequestClass::default()
     };
-    let once = RequestClass {
+    let not_idempotent = RequestClass {
         latency_objective: 300 * MS,
         deadline: SECOND,
         idempotency: Idempotency::NotIdempotent,
@@ -45,7 +45,7 @@
         ..RequestClass::default()
     };
     Settings {
-        classes: vec![read, write, once],
+        classes: vec![read, write, not_idempotent],
         origin_kind: Some(ORIGIN_KIND),
         max_attempts: 4,
         ..Settings::default()
@@ -88,19 +88,20 @@
 }
 
 impl Router {
-    /// A router that has run for some time without overload.
+    /// A router that has been running for 10 s without overload.
     pub fn new(settings: Settings, servers: u32) -> Self {
         let mut router = Router::just_started(settings, servers);
         router.advance(10 * SECOND);
         router
     }
 
-    /// A router with cache servers 1 to `servers` and an origin, a minute after their start.
+    /// A router that has just started, with cache servers 1 to `servers` and an origin that have long been
+    /// running. The clock is at 60 s.
     pub fn just_started(settings: Settings, servers: u32) -> Self {
         Router::seeded(settings, servers, 7)
     }
 
-    /// The same with a seed of its own, as each of many routers has.
+    /// Like [`Router::just_started`] with a given seed, so that each of many routers can have its own.
     pub fn seeded(settings: Settings, servers: u32, seed: u64) -> Self {
         let policy = Policy::new(settings, seed);
         let mut router = Router {
@@ -109,13 +110,13 @@
             actions: Vec::new(),
             timers: Vec::new(),
         };
-        let mut lines: Vec<_> = (1..=servers).map(server).collect();
-        lines.push(origin());
-        router.list(ListUpdate::Cached, lines);
+        let mut endpoints: Vec<_> = (1..=servers).map(server).collect();
+        endpoints.push(origin());
+        router.list(ListUpdate::Cached, endpoints);
         router
     }
 
-    /// Passes an event on and returns what the policy answered to it.
+    /// Passes an event to the policy and returns the actions that it causes.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.policy.handle(self.now, event, &mut actions);
@@ -160,20 +161,20 @@
         self.event(Event::AttemptOutcome(outcome))
     }
 
-    /// Lets time pass, with the timers that come due, and returns what the policy answered meanwhile.
+    /// Advances the clock, fires the timers that come due, and returns the actions that they cause.
     pub fn advance(&mut self, time: Micros) -> Vec<Action> {
         let end = self.now + time;
-        let from = self.actions.len();
+        let first_action = self.actions.len();
         while let Some(due) = take_due(&mut self.timers, end) {
             self.now = due;
             self.event(Event::Timer(0));
         }
         self.now = end;
-        self.actions[from..].to_vec()
+        self.actions[first_action..].to_vec()
     }
 }
 
-/// Where the first attempt among these actions goes.
+/// The server of the first attempt among these actions.
 pub fn sent_to(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|a| match a {
         Action::Send { server, .. } => Some(*server),
@@ -198,17 +199,17 @@
     actions.contains(&Action::Fail(id))
 }
 
-/// Takes out the first of the timers that is due by a time.
+/// Removes and returns the earliest timer if it is due by `end`.
 pub fn take_due(timers: &mut Vec<Micros>, end: Micros) -> Option<Micros> {
-    let (at, due) = timers
+    let (index, due) = timers
         .iter()
         .copied()
         .enumerate()
         .min_by_key(|(_, due)| *due)?;
-    (due <= end).then(|| timers.swap_remove(at))
+    (due <= end).then(|| timers.swap_remove(index))
 }
 
-/// The server that a key goes to first; the request is served at once.
+/// Returns the server that a read of `key` is sent to first. The read is served at once.
 pub fn first_choice(router: &mut Router, key: Key) -> ServerId {
     let id = 1_000_000 + router.actions.len() as RequestId;
     let server = sent_to(&router.request(read(id, key))).unwrap();
@@ -216,20 +217,20 @@
     server
 }
 
-/// Asks for keys 1 to 200, each answered after a time at one server and at once at the others; returns those
-/// that went to the one.
+/// Reads keys 1 to 200 and returns the keys sent to `slow_server`. That server takes `response_time` for each
+/// response, the others 1 ms.
 pub fn keys_at(
     router: &mut Router,
     first_id: RequestId,
-    victim: ServerId,
-    takes: Micros,
+    slow_server: ServerId,
+    response_time: Micros,
 ) -> Vec<Key> {
-    let ask = |key: Key| {
+    let send_read = |key: Key| {
         let id = first_id + key;
         let to = sent_to(&router.request(read(id, key))).unwrap();
-        router.advance(if to == victim { takes } else { MS });
+        router.advance(if to == slow_server { response_time } else { MS });
         router.outcome(id, 0, to, AttemptStatus::Served);
-        (to == victim).then_some(key)
+        (to == slow_server).then_some(key)
     };
-    (1..=200).filter_map(ask).collect()
+    (1..=200).filter_map(send_read).collect()
 }
--- a/crates/routing-policy/tests/properties.rs
+++ b/crates/routing-policy/tests/properties.rs
@@ -1,4 +1,5 @@
-//! Random legal event sequences (a fixed seed), and the rules that events and actions alone can show.
+//! Property tests: feeds random valid event sequences with a fixed seed to the policy, and checks the rules
+//! that can be verified from events and actions alone.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -25,18 +26,18 @@
         write: bool,
         deadline: u64,
     },
-    EndAttempt {
-        which: usize,
+    AttemptEnds {
+        index: usize,
         status: usize,
     },
-    BeginResponse {
-        which: usize,
+    ResponseStarts {
+        index: usize,
     },
-    ClientLeaves {
-        which: usize,
+    ClientDisconnects {
+        index: usize,
     },
     ServerChanges {
-        which: usize,
+        index: usize,
         state: usize,
         restarted: bool,
     },
@@ -57,9 +58,9 @@
         1 => (0..3_000_000u64).prop_map(Step::Wait),
         10 => request(),
         10 => (any::<usize>(), 0..9usize)
-            .prop_map(|(which, status)| Step::EndAttempt { which, status }),
-        1 => any::<usize>().prop_map(|which| Step::BeginResponse { which }),
-        1 => any::<usize>().prop_map(|which| Step::ClientLeaves { which }),
+            .prop_map(|(index, status)| Step::AttemptEnds { index, status }),
+        1 => any::<usize>().prop_map(|index| Step::ResponseStarts { index }),
+        1 => any::<usize>().prop_map(|index| Step::ClientDisconnects { index }),
         2 => server_change(),
         1 => any::<u32>().prop_map(|ready_mask| Step::FullList { ready_mask }),
         1 => Just(Step::DiscoveryFails),
@@ -82,8 +83,8 @@
 
 fn server_change() -> impl Strategy<Value = Step> {
     let fields = (any::<usize>(), 0..3u8, any::<bool>());
-    fields.prop_map(|(which, state, restarted)| Step::ServerChanges {
-        which,
+    fields.prop_map(|(index, state, restarted)| Step::ServerChanges {
+        index,
         state: usize::from(state),
         restarted,
     })
@@ -142,41 +143,42 @@
     )
 }
 
-/// A request that is owed a final answer.
-struct Owed {
+/// A request that has not had its final response.
+struct PendingRequest {
     class: usize,
-    ends: u64,
+    deadline_at: u64,
     attempts: Vec<SentAttempt>,
 }
 
 struct SentAttempt {
     server: ServerId,
-    at: u64,
+    sent_at: u64,
     in_flight: bool,
     may_have_run: bool,
 }
 
-/// An attempt without outcome.
-struct InFlight {
+/// An attempt in flight.
+struct InFlightAttempt {
     request: RequestId,
     attempt: u16,
     server: ServerId,
 }
 
-/// The surroundings of one router: they know what was promised and check every action against it.
-struct Surroundings {
+/// The environment of one router. It tracks the pending requests and attempts, and checks every action against
+/// the rules.
+struct Environment {
     settings: Settings,
     policy: Policy,
     now: u64,
-    next: RequestId,
+    next_id: RequestId,
     endpoints: BTreeMap<ServerId, Endpoint>,
-    owed: BTreeMap<RequestId, Owed>,
-    in_flight: Vec<InFlight>,
+    pending: BTreeMap<RequestId, PendingRequest>,
+    in_flight: Vec<InFlightAttempt>,
     timers: Vec<u64>,
-    log: Vec<Action>,
+    actions: Vec<Action>,
 }
 
-impl Surroundings {
+impl Environment {
     fn new(settings: Settings) -> Self {
         let policy = Policy::new(settings.clone(), 3);
         let endpoint = |id: ServerId| Endpoint {
@@ -187,19 +189,19 @@
             weight: id as f32,
             ..Endpoint::default()
         };
-        let mut surroundings = Surroundings {
+        let mut environment = Environment {
             settings,
             policy,
             now: 50_000_000,
-            next: 0,
+            next_id: 0,
             endpoints: (0..8).map(|id| (id, endpoint(id))).collect(),
-            owed: BTreeMap::new(),
+            pending: BTreeMap::new(),
             in_flight: Vec::new(),
             timers: Vec::new(),
-            log: Vec::new(),
+            actions: Vec::new(),
         };
-        surroundings.send_list(ListUpdate::Cached);
-        surroundings
+        environment.send_list(ListUpdate::Cached);
+        environment
     }
 
     fn send_list(&mut self, update: ListUpdate) {
@@ -217,7 +219,7 @@
         for action in &actions {
             self.check(action);
         }
-        self.log.extend(actions);
+        self.actions.extend(actions);
     }
 
     fn check(&mut self, action: &Action) {
@@ -226,29 +228,36 @@
                 request, server, ..
             } => self.check_send(*request, *server),
             Action::Reject { request, .. } => {
-                let owed = self.owed.remove(request).expect("a second final answer");
+                let pending = self
+                    .pending
+                    .remove(request)
+                    .expect("a second final response");
                 let idempotent =
-                    self.settings.classes[owed.class].idempotency == Idempotency::Idempotent;
+                    self.settings.classes[pending.class].idempotency == Idempotency::Idempotent;
                 assert!(
-                    idempotent || owed.attempts.iter().all(|a| !a.may_have_run),
-                    "a rejection of what may have run"
+                    idempotent || pending.attempts.iter().all(|a| !a.may_have_run),
+                    "a rejection of a request that may have run"
                 );
             }
             Action::Fail(request) => {
-                self.owed.remove(request).expect("a second final answer");
+                self.pending
+                    .remove(request)
+                    .expect("a second final response");
             }
             Action::Timer { after, .. } => self.timers.push(self.now + (*after).max(1)),
             Action::SendToPeer { bytes, .. } => {
                 assert!(self.settings.may_message_peers && bytes.len() <= 256)
             }
-            Action::CheckHealth(_) | Action::Cancel { .. } => panic!("not allowed here"),
+            Action::CheckHealth(_) | Action::Cancel { .. } => {
+                panic!("an action that the settings forbid")
+            }
             _ => {}
         }
     }
 
     fn check_send(&mut self, request: RequestId, server: ServerId) {
-        let owed = self
-            .owed
+        let pending = self
+            .pending
             .get(&request)
             .expect("a send for a request that has ended");
         assert_eq!(
@@ -257,34 +266,34 @@
             "a send to a draining or removed server"
         );
         assert!(
-            owed.attempts.len() < self.settings.max_attempts as usize,
+            pending.attempts.len() < self.settings.max_attempts as usize,
             "too many attempts"
         );
-        assert!(self.now < owed.ends, "a send after the deadline");
+        assert!(self.now < pending.deadline_at, "a send after the deadline");
         assert!(
-            self.settings.may_hedge || owed.attempts.iter().all(|a| !a.in_flight),
-            "a hedged request where that is forbidden"
+            self.settings.may_hedge || pending.attempts.iter().all(|a| !a.in_flight),
+            "a hedged request although hedging is forbidden"
         );
-        self.check_idempotency(owed, server);
+        self.check_idempotency(pending, server);
         let attempt = SentAttempt {
             server,
-            at: self.now,
+            sent_at: self.now,
             in_flight: true,
             may_have_run: true,
         };
-        let owed = self.owed.get_mut(&request).unwrap();
-        self.in_flight.push(InFlight {
+        let pending = self.pending.get_mut(&request).unwrap();
+        self.in_flight.push(InFlightAttempt {
             request,
-            attempt: owed.attempts.len() as u16,
+            attempt: pending.attempts.len() as u16,
             server,
         });
-        owed.attempts.push(attempt);
+        pending.attempts.push(attempt);
     }
 
-    fn check_idempotency(&self, owed: &Owed, server: ServerId) {
+    fn check_idempotency(&self, pending: &PendingRequest, server: ServerId) {
         let endpoint = &self.endpoints[&server];
-        let mut possibly_executed = owed.attempts.iter().filter(|a| a.may_have_run);
-        match self.settings.classes[owed.class].idempotency {
+        let mut possibly_executed = pending.attempts.iter().filter(|a| a.may_have_run);
+        match self.settings.classes[pending.class].idempotency {
             Idempotency::Idempotent => {}
             Idempotency::NotIdempotent => {
                 assert!(
@@ -301,8 +310,8 @@
                         DeduplicationScope::Cell => first.cell == endpoint.cell,
                     };
                     assert!(
-                        is_in_scope && self.now < attempt.at + window,
-                        "a request with an idempotency key outside its scope or window"
+                        is_in_scope && self.now < attempt.sent_at + window,
+                        "a retry outside the scope or window of its idempotency key"
                     );
                 }
             }
@@ -316,14 +325,18 @@
             self.event(Event::Timer(0));
             let now = self.now;
             assert!(
-                self.owed.values().all(|owed| now < owed.ends),
-                "a request without an answer at its deadline"
+                self.pending
+                    .values()
+                    .all(|pending| now < pending.deadline_at),
+                "a request without a final response at its deadline"
             );
         }
         self.now = end;
         assert!(
-            self.owed.values().all(|owed| end <= owed.ends),
-            "a request without an answer at its deadline"
+            self.pending
+                .values()
+                .all(|pending| end <= pending.deadline_at),
+            "a request without a final response at its deadline"
         );
     }
 
@@ -344,25 +357,25 @@
                 remaining_deadline: *deadline,
                 ..Request::default()
             }),
-            Step::EndAttempt { which, status } if !self.in_flight.is_empty() => {
-                self.end_attempt(which % self.in_flight.len(), *status);
+            Step::AttemptEnds { index, status } if !self.in_flight.is_empty() => {
+                self.end_attempt(index % self.in_flight.len(), *status);
             }
-            Step::BeginResponse { which } if !self.in_flight.is_empty() => {
-                let answered = &self.in_flight[which % self.in_flight.len()];
-                let (request, attempt) = (answered.request, answered.attempt);
-                self.owed.remove(&request);
+            Step::ResponseStarts { index } if !self.in_flight.is_empty() => {
+                let started = &self.in_flight[index % self.in_flight.len()];
+                let (request, attempt) = (started.request, started.attempt);
+                self.pending.remove(&request);
                 self.event(Event::ResponseStarted { request, attempt });
             }
-            Step::ClientLeaves { which } if !self.owed.is_empty() => {
-                let id = *self.owed.keys().nth(which % self.owed.len()).unwrap();
-                self.owed.remove(&id);
+            Step::ClientDisconnects { index } if !self.pending.is_empty() => {
+                let id = *self.pending.keys().nth(index % self.pending.len()).unwrap();
+                self.pending.remove(&id);
                 self.event(Event::ClientGone(id));
             }
             Step::ServerChanges {
-                which,
+                index,
                 state,
                 restarted,
-            } => self.change_server(which % self.endpoints.len(), *state, *restarted),
+            } => self.change_server(index % self.endpoints.len(), *state, *restarted),
             Step::FullList { ready_mask } => {
                 for (id, endpoint) in &mut self.endpoints {
                     let is_ready = ready_mask >> id & 1 == 1;
@@ -388,14 +401,14 @@
     }
 
     fn request(&mut self, request: &Request) {
-        let id = self.next;
-        self.next += 1;
-        let owed = Owed {
+        let id = self.next_id;
+        self.next_id += 1;
+        let pending = PendingRequest {
             class: request.class,
-            ends: self.now + request.remaining_deadline,
+            deadline_at: self.now + request.remaining_deadline,
             attempts: Vec::new(),
         };
-        self.owed.insert(id, owed);
+        self.pending.insert(id, pending);
         let request = Request {
             id,
             ..request.clone()
@@ -403,8 +416,8 @@
         self.event(Event::Request(request));
     }
 
-    fn end_attempt(&mut self, which: usize, status: usize) {
-        let ended = self.in_flight.swap_remove(which);
+    fn end_attempt(&mut self, index: usize, status: usize) {
+        let ended = self.in_flight.swap_remove(index);
         let status = [
             AttemptStatus::Served,
             AttemptStatus::Miss,
@@ -416,28 +429,28 @@
             AttemptStatus::Served,
             AttemptStatus::Miss,
         ][status];
-        if let Some(owed) = self.owed.get_mut(&ended.request) {
-            let attempt = &mut owed.attempts[usize::from(ended.attempt)];
+        if let Some(pending) = self.pending.get_mut(&ended.request) {
+            let attempt = &mut pending.attempts[usize::from(ended.attempt)];
             attempt.in_flight = false;
             attempt.may_have_run &= !status.proves_not_run();
         }
         if status == AttemptStatus::Served {
-            self.owed.remove(&ended.request);
+            self.pending.remove(&ended.request);
         }
         self.event(Event::AttemptOutcome(AttemptOutcome {
             request: ended.request,
             attempt: ended.attempt,
             server: ended.server,
             status,
-            request_complete: !self.owed.contains_key(&ended.request),
+            request_complete: !self.pending.contains_key(&ended.request),
             cache_lookup: CacheLookup::Unknown,
             elapsed: 1,
             load: LoadReport::default(),
         }));
     }
 
-    fn change_server(&mut self, which: usize, state: usize, restarted: bool) {
-        let id = which as ServerId;
+    fn change_server(&mut self, index: usize, state: usize, restarted: bool) {
+        let id = index as ServerId;
         let endpoint = self.endpoints.get_mut(&id).unwrap();
         endpoint.state = [
             EndpointState::Ready,
@@ -456,7 +469,7 @@
 
     fn restart_router(&mut self) {
         self.policy = Policy::new(self.settings.clone(), 4);
-        self.owed.clear();
+        self.pending.clear();
         self.in_flight.clear();
         self.timers.clear();
         self.send_list(ListUpdate::Cached);
@@ -464,7 +477,7 @@
 }
 
 #[test]
-fn the_rules_hold_over_random_events_and_the_same_events_give_the_same_actions() {
+fn rules_hold_for_random_events_and_equal_events_give_equal_actions() {
     let config = Config {
         cases: 400,
         failure_persistence: None,
@@ -474,15 +487,18 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let strategy = (settings(), proptest::collection::vec(step(), 1..150));
     let result = runner.run(&strategy, |(settings, steps)| {
-        let play = || {
-            let mut surroundings = Surroundings::new(settings.clone());
-            steps.iter().for_each(|step| surroundings.step(step));
-            surroundings.advance(2_000_000);
-            let all_answered = surroundings.owed.is_empty();
-            assert!(all_answered, "everything is answered in the end");
-            surroundings.log
+        let run_steps = || {
+            let mut environment = Environment::new(settings.clone());
+            steps.iter().for_each(|step| environment.step(step));
+            environment.advance(2_000_000);
+            let all_completed = environment.pending.is_empty();
+            assert!(
+                all_completed,
+                "every request has a final response at the end"
+            );
+            environment.actions
         };
-        prop_assert_eq!(play(), play());
+        prop_assert_eq!(run_steps(), run_steps());
         Ok(())
     });
     result.unwrap();
