--- a/crates/simulator-adapter/src/actions.rs
+++ b/crates/simulator-adapter/src/actions.rs
@@ -1,12 +1,13 @@
-//! Encodes replies of action records.
+//! Encodes replies, which consist of action records.
 
 use routing_policy::{Action, Micros, ServerId};
 
 use crate::wire::{CODE, INSTANCE};
 
-/// Size of a reply's header, in bytes: the number of records, the bytes that follow, and the number of the batch.
+/// Size of a reply header in bytes: the number of records, the number of bytes that follow, and the batch
+/// number.
 pub const REPLY_HEADER_SIZE: usize = 12;
-/// Size of an action record, in bytes.
+/// Size of an action record in bytes.
 pub const ACTION_SIZE: usize = 24;
 
 /// Action codes of the protocol.
@@ -25,7 +26,7 @@
     pub const FETCH_ENDPOINTS: u8 = 12;
 }
 
-/// Offsets in the record of an attempt.
+/// Offsets in the record that sends an attempt.
 mod send {
     pub const REQUEST: usize = 3;
     pub const SERVER: usize = 11;
@@ -55,12 +56,12 @@
     pub const TOKEN: usize = 7;
 }
 
-/// Offset in the records that name a server and nothing else.
+/// Offset in records whose only field is a server.
 mod server_only {
     pub const SERVER: usize = 3;
 }
 
-/// Offsets in the record of a message to another instance, and the number that stands for all of them.
+/// Offsets in the record of a message to another instance, and the value that addresses all instances.
 mod send_to_peer {
     pub const TO: usize = 3;
     pub const BYTES: usize = 7;
@@ -68,17 +69,17 @@
     pub const ALL_PEERS: u32 = u32::MAX;
 }
 
-/// Offset in the records that carry a text and nothing else.
+/// Offset in records whose only field is a text.
 mod text_only {
     pub const TEXT: usize = 3;
 }
 
-/// Offset in the record that opens or ends a watch.
+/// Offset in the record that opens or closes a watch.
 mod subscribe {
     pub const ON: usize = 3;
 }
 
-/// Offsets in a reference to a part of the tail.
+/// Offsets in a reference to a range of the tail.
 mod tail_reference {
     pub const OFFSET: usize = 0;
     pub const COUNT: usize = 4;
@@ -106,12 +107,13 @@
         self.bytes[CODE] = code;
     }
 
-    /// Durations are signed 32-bit on the wire; longer ones are cut to the longest.
+    /// Writes a duration, which is a signed 32-bit number on the wire. Longer durations are capped at the
+    /// maximum.
     fn write_duration(&mut self, offset: usize, duration: Micros) {
-        let on_the_wire = u32::try_from(duration)
+        let wire_value = u32::try_from(duration)
             .unwrap_or(u32::MAX)
             .min(i32::MAX as u32);
-        self.write(offset, &on_the_wire.to_le_bytes());
+        self.write(offset, &wire_value.to_le_bytes());
     }
 
     fn write_server_only(&mut self, code: u8, server: ServerId) {
@@ -120,7 +122,7 @@
     }
 }
 
-/// A reply under construction. Its buffers are reused from batch to batch.
+/// A reply under construction. Its buffers are reused for the next batch.
 #[derive(Debug, Default)]
 pub struct Reply {
     records: Vec<u8>,
@@ -129,7 +131,7 @@
 }
 
 impl Reply {
-    /// Adds an action of an instance.
+    /// Adds an action of a policy instance.
     pub fn push(&mut self, instance: u16, action: &Action) {
         let mut record = ActionRecord::new(instance);
         self.encode(&mut record, action);
@@ -194,7 +196,7 @@
         self.append_to_tail(record, text_only::TEXT, text.as_bytes());
     }
 
-    /// Appends bytes to the tail, and writes a reference to them into a record.
+    /// Appends bytes to the tail and writes a reference to them into the record.
     fn append_to_tail(&mut self, record: &mut ActionRecord, reference: usize, bytes: &[u8]) {
         let offset = self.tail.len() as u32;
         let count = bytes.len() as u32;
@@ -203,7 +205,7 @@
         self.tail.extend_from_slice(bytes);
     }
 
-    /// Writes the reply to a batch into `frame`, in place of what was there, and empties itself for the next.
+    /// Replaces the contents of `frame` with the reply to a batch, and clears the reply for the next batch.
     pub fn finish(&mut self, batch: u32, frame: &mut Vec<u8>) {
         let length = (self.records.len() + self.tail.len()) as u32;
         frame.clear();
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,14 +1,16 @@
-//! What is wrong with an input. Each error prints as one line that names the batch and, where it can, the record.
+//! Errors of the adapter. Each error prints as one line that names the batch and, if possible, the record.
+//! Record names in messages are those of the simulator's protocol, such as `census` for an endpoint list and
+//! `roster_change` for the notification of one.
 
 use std::io;
 
 use routing_policy::settings::SettingsError;
 
-/// Why the adapter stops.
+/// An error that stops the adapter.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
     /// The input ended within a batch header.
-    #[error("truncated frame: input ended within it")]
+    #[error("truncated frame: input ended within a batch header")]
     TruncatedHeader,
     /// The input ended before the length that a header gives.
     #[error("truncated frame: batch {batch} ended after {received} bytes")]
@@ -18,7 +20,7 @@
         /// Bytes of its body that were received.
         received: usize,
     },
-    /// A header gives more records than fit its length.
+    /// A header announces more records than fit into its length.
     #[error("batch {batch}: records exceed the frame's length")]
     TooManyRecords {
         /// Number of the batch.
@@ -31,54 +33,54 @@
         batch: u32,
         /// Index of the record in the batch, from 0.
         index: usize,
-        /// What is wrong with it.
+        /// Why it cannot be decoded.
         source: DecodeError,
     },
-    /// An event does not fit what was sent before it.
+    /// An event is inconsistent with earlier records.
     #[error("batch {batch}: {source}")]
     RejectedEvent {
         /// Number of the batch.
         batch: u32,
-        /// Why it does not fit.
+        /// Why it is inconsistent.
         source: HostError,
     },
     /// Reading the input failed.
     #[error("reading the input failed: {0}")]
     Input(io::Error),
     /// Writing a reply failed.
-    #[error("writing failed: {0}")]
+    #[error("writing the reply failed: {0}")]
     Output(io::Error),
 }
 
-/// What is wrong with an event record.
+/// Why an event record cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// The record's code is none of the protocol's.
+    /// The protocol has no event with this code.
     #[error("unknown event code {code}")]
     UnknownEvent {
         /// The code.
         code: u8,
     },
-    /// The status of an attempt is none of the protocol's.
+    /// The protocol has no attempt status with this code.
     #[error("unknown outcome {status}")]
     UnknownStatus {
         /// The status.
         status: u16,
     },
-    /// The update of an endpoint list is of a kind that is none of the protocol's.
+    /// The protocol has no endpoint list update of this kind.
     #[error("roster_change of unknown kind {kind}")]
     UnknownListUpdate {
         /// The kind.
         kind: u8,
     },
-    /// The state of an endpoint is none of the protocol's.
+    /// The protocol has no endpoint state with this code.
     #[error("census line with unknown condition {state}")]
     UnknownEndpointState {
         /// The state.
         state: u8,
     },
     /// A record refers to bytes outside its batch's tail.
-    #[error("event code {code}: tail offset {offset} and count {count} leave the frame")]
+    #[error("event code {code}: tail offset {offset} and count {count} are outside the frame")]
     OutsideTail {
         /// The record's code.
         code: u8,
@@ -89,44 +91,44 @@
     },
 }
 
-/// Why an event does not fit the instances and lists that there are.
+/// Why an event is inconsistent with the running instances or the lists received.
 #[derive(Debug, thiserror::Error)]
 pub enum HostError {
     /// The settings of a new instance cannot be used.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// An instance is stopped that does not run.
+    /// A stop record names an instance that is not running.
     #[error("shutdown of unknown instance {instance}")]
     UnknownInstanceStopped {
         /// Its number.
         instance: u16,
     },
-    /// An event is for an instance that does not run.
+    /// An event is addressed to an instance that is not running.
     #[error("event for unknown instance {instance}")]
     UnknownInstance {
         /// Its number.
         instance: u16,
     },
-    /// A list has a number that is too high.
+    /// The number of an endpoint list is out of range.
     #[error("census with list number {number} out of range")]
     ListNumberTooHigh {
         /// Its number.
         number: u16,
     },
-    /// An instance is notified of a list that was not sent.
+    /// An instance is notified of a list that has not been received.
     #[error("roster_change names unknown list {number}")]
     UnknownList {
         /// Its number.
         number: u16,
     },
-    /// A request is of a class that the instance's settings do not have.
-    #[error("request of class {class} that the settings do not have")]
+    /// A request has a class that the instance's settings do not define.
+    #[error("request of class {class}, which the settings do not define")]
     UnknownClass {
         /// Index of the class.
         class: usize,
     },
-    /// A request is of a tenant that the instance's settings do not have.
-    #[error("request of tenant {tenant} that the settings do not have")]
+    /// A request has a tenant that the instance's settings do not define.
+    #[error("request of tenant {tenant}, which the settings do not define")]
     UnknownTenant {
         /// Index of the tenant.
         tenant: usize,
--- a/crates/simulator-adapter/src/events/layout.rs
+++ b/crates/simulator-adapter/src/events/layout.rs
@@ -23,7 +23,7 @@
     pub const NUMBER: usize = 16;
 }
 
-/// Offset in the record of a client that has disconnected.
+/// Offset in the record of a client disconnect.
 pub mod client_gone {
     pub const REQUEST: usize = 3;
 }
@@ -33,7 +33,7 @@
     pub const TOKEN: usize = 3;
 }
 
-/// Offsets in the record of an attempt's outcome, and the statuses in it.
+/// Offsets in the record of an attempt's outcome.
 pub mod outcome {
     pub const REQUEST: usize = 3;
     pub const CACHE_LOOKUP: usize = 11;
@@ -58,9 +58,9 @@
 
     /// The cost field is valid.
     pub const FLAG_HAS_COST: u8 = 1;
-    /// The client sends the request again.
+    /// The request is a retry by the client.
     pub const FLAG_IS_RETRY: u8 = 2;
-    /// The request changes the value.
+    /// The request is a write.
     pub const FLAG_WRITE: u8 = 4;
 }
 
@@ -70,7 +70,7 @@
     pub const SETTINGS: usize = 11;
 }
 
-/// Offsets in the record of a health check's outcome, and the status of a healthy server.
+/// Offsets in the record of a health check's outcome, and the status that means healthy.
 pub mod health {
     pub const STATUS: usize = 3;
     pub const ELAPSED: usize = 5;
@@ -80,19 +80,19 @@
     pub const STATUS_HEALTHY: u16 = 200;
 }
 
-/// Offsets in the record of a response that has begun.
+/// Offsets in the record of a response that has started.
 pub mod response_started {
     pub const REQUEST: usize = 3;
     pub const ATTEMPT: usize = 15;
 }
 
-/// Offsets in the record of a numbered endpoint list; its number is in place of an instance's.
+/// Offsets in the record of a numbered endpoint list. The list number takes the place of the instance number.
 pub mod endpoint_list {
     pub const NUMBER: usize = crate::wire::INSTANCE;
     pub const ENDPOINTS: usize = 3;
 }
 
-/// Offsets in the record that notifies an instance of a list.
+/// Offsets in the record that notifies an instance of an endpoint list.
 pub mod list_update {
     pub const NUMBER: usize = 3;
     pub const KIND: usize = 9;
@@ -104,7 +104,7 @@
     pub const BYTES: usize = 7;
 }
 
-/// Offsets in the tail's record of an endpoint, and its size.
+/// Offsets in the record of an endpoint in the tail, and its size.
 pub mod endpoint {
     pub const ZONE: usize = 0;
     pub const STARTED: usize = 1;
@@ -117,7 +117,7 @@
     pub const SIZE: usize = 22;
 }
 
-/// Offsets in a load report, and the most values that it has.
+/// Offsets in a load report, the size of a value, and the maximum number of values.
 pub mod load {
     pub const COUNT: usize = 0;
     pub const VALUES: usize = 1;
@@ -126,7 +126,7 @@
     pub const MAX_VALUES: u8 = 4;
 }
 
-/// Offsets in a reference to a part of the tail.
+/// Offsets in a reference to a range of the tail.
 pub mod tail_reference {
     pub const OFFSET: usize = 0;
     pub const COUNT: usize = 4;
--- a/crates/simulator-adapter/src/events/mod.rs
+++ b/crates/simulator-adapter/src/events/mod.rs
@@ -14,9 +14,9 @@
 use crate::error::{AdapterError, DecodeError};
 use crate::wire::{CODE, INSTANCE, RecordReader};
 
-/// Size of a batch header, in bytes.
+/// Size of a batch header in bytes.
 pub const BATCH_HEADER_SIZE: usize = 20;
-/// Size of an event record, in bytes.
+/// Size of an event record in bytes.
 pub const EVENT_SIZE: usize = 48;
 
 /// The header of a batch.
@@ -24,9 +24,9 @@
 pub struct BatchHeader {
     /// The simulator's clock, in microseconds.
     pub now: Micros,
-    /// Bytes that follow the header.
+    /// Number of bytes that follow the header.
     pub length: usize,
-    /// Event records among them.
+    /// Number of event records in these bytes.
     pub records: usize,
     /// Number of the batch.
     pub number: u32,
@@ -36,7 +36,7 @@
     /// Decodes a header.
     ///
     /// # Errors
-    /// Where its records do not fit its length.
+    /// Returns an error if the records do not fit into the length.
     pub fn decode(bytes: &[u8; BATCH_HEADER_SIZE]) -> Result<BatchHeader, AdapterError> {
         let reader = RecordReader::new(bytes);
         let header = BatchHeader {
@@ -54,26 +54,26 @@
     }
 }
 
-/// An event record, resolved as far as its own batch allows.
+/// A decoded event record. Data from the tail of its batch is resolved; list numbers are not.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EventRecord<'a> {
     /// An instance starts.
     Start {
         /// Its number.
         instance: u16,
-        /// Seed of its random source.
+        /// Seed of its random number generator.
         seed: u64,
-        /// Its settings, as JSON text.
+        /// Its settings as JSON text.
         settings: &'a [u8],
     },
-    /// An endpoint list, to which later records refer by its number.
+    /// An endpoint list, which later records refer to by its number.
     EndpointList {
         /// Number of the list.
         number: u16,
         /// Its endpoints.
         endpoints: Vec<Endpoint>,
     },
-    /// An instance is killed.
+    /// An instance stops without notice.
     Stop {
         /// Its number.
         instance: u16,
@@ -87,7 +87,7 @@
         /// Number of the list.
         number: u16,
     },
-    /// Any other event of an instance.
+    /// Any other event for an instance.
     Event {
         /// Number of the instance.
         instance: u16,
@@ -104,16 +104,17 @@
 }
 
 impl<'a> BatchBody<'a> {
-    /// The body of a batch with `records` event records, which must fit it as [`BatchHeader::decode`] checks.
+    /// Splits the body of a batch into `records` event records and the tail. The number of records must fit the
+    /// body, as checked by [`BatchHeader::decode`].
     ///
     /// # Panics
-    /// Where the records do not fit the body.
+    /// Panics if the records do not fit the body.
     pub fn new(body: &'a [u8], records: usize) -> BatchBody<'a> {
         let (records, tail) = body.split_at(records * EVENT_SIZE);
         BatchBody { records, tail }
     }
 
-    /// Decodes the event records, in their order.
+    /// Decodes the event records in order.
     pub fn events(self) -> impl Iterator<Item = Result<EventRecord<'a>, DecodeError>> {
         self.records
             .chunks_exact(EVENT_SIZE)
@@ -142,7 +143,7 @@
         },
         code::PEER_MESSAGE => Event::PeerMessage {
             from: record.u32(peer_message::FROM),
-            bytes: tail_part(record, peer_message::BYTES, 1, tail)?.to_vec(),
+            bytes: tail_range(record, peer_message::BYTES, 1, tail)?.to_vec(),
         },
         code => return Err(DecodeError::UnknownEvent { code }),
     };
@@ -156,7 +157,7 @@
     Ok(EventRecord::Start {
         instance: record.u16(INSTANCE),
         seed: record.u64(start::SEED),
-        settings: tail_part(record, start::SETTINGS, 1, tail)?,
+        settings: tail_range(record, start::SETTINGS, 1, tail)?,
     })
 }
 
@@ -164,7 +165,7 @@
     record: RecordReader<'_>,
     tail: &'a [u8],
 ) -> Result<EventRecord<'a>, DecodeError> {
-    let endpoints = tail_part(record, endpoint_list::ENDPOINTS, endpoint::SIZE, tail)?
+    let endpoints = tail_range(record, endpoint_list::ENDPOINTS, endpoint::SIZE, tail)?
         .chunks_exact(endpoint::SIZE)
         .map(|bytes| decode_endpoint(RecordReader::new(bytes)))
         .collect::<Result<Vec<Endpoint>, DecodeError>>()?;
@@ -251,7 +252,7 @@
     })
 }
 
-/// The protocol's statuses are those of HTTP where it has one, and of common proxies where it has none.
+/// The protocol uses HTTP status codes where they exist, and codes of common proxies otherwise.
 fn decode_status(status: u16) -> Result<AttemptStatus, DecodeError> {
     Ok(match status {
         200 => AttemptStatus::Served,
@@ -274,9 +275,9 @@
     }
 }
 
-/// The part of the tail that a record's reference at `reference` names: an offset in bytes, and a count of items of
-/// `item_size` bytes.
-fn tail_part<'a>(
+/// Returns the range of the tail that the reference at offset `reference` of the record names: an offset in
+/// bytes and a count of items of `item_size` bytes.
+fn tail_range<'a>(
     record: RecordReader<'_>,
     reference: usize,
     item_size: usize,
@@ -286,8 +287,8 @@
     let count = record.size(reference + tail_reference::COUNT);
     let length = count.checked_mul(item_size);
     let end = length.and_then(|length| length.checked_add(offset));
-    let part = end.and_then(|end| tail.get(offset..end));
-    part.ok_or(DecodeError::OutsideTail {
+    let range = end.and_then(|end| tail.get(offset..end));
+    range.ok_or(DecodeError::OutsideTail {
         code: record.u8(CODE),
         offset,
         count,
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The policy instances that the simulator runs, and the endpoint lists that it has sent.
+//! Holds the policy instances that the simulator runs and the endpoint lists that it has sent.
 
 use std::collections::HashMap;
 
@@ -8,15 +8,15 @@
 use crate::error::{AdapterError, HostError};
 use crate::events::{BatchBody, BatchHeader, EventRecord};
 
-/// Endpoint lists are numbered from 0 to this, exclusive.
+/// Number of endpoint lists; they are numbered from 0.
 const MAX_LISTS: usize = 16;
 
-/// A policy that runs under an instance number.
+/// A policy instance and the limits for checking its requests.
 struct Instance {
     policy: Policy,
-    /// Number of classes in its settings.
+    /// Number of classes in the instance's settings.
     classes: usize,
-    /// Number of tenants in its settings.
+    /// Number of tenants in the instance's settings.
     tenants: usize,
 }
 
@@ -30,14 +30,14 @@
         })
     }
 
-    /// Rejects a request whose class or tenant the settings do not have: the policy relies on them.
+    /// Rejects a request whose class or tenant the settings do not define. The policy uses both as indices.
     fn check(&self, request: &Request) -> Result<(), HostError> {
         if request.class >= self.classes {
             return Err(HostError::UnknownClass {
                 class: request.class,
             });
         }
-        // Settings without tenants have one, of number 0.
+        // Settings without tenants have a single implicit tenant with index 0.
         if request.tenant >= self.tenants.max(1) {
             return Err(HostError::UnknownTenant {
                 tenant: request.tenant,
@@ -47,21 +47,22 @@
     }
 }
 
-/// All policy instances, and the reply to the batch that is being handled.
+/// All policy instances, the endpoint lists, and the reply to the current batch.
 #[derive(Default)]
 pub struct PolicyHost {
     instances: HashMap<u16, Instance>,
     lists: [Option<Vec<Endpoint>>; MAX_LISTS],
-    /// Actions of one event; kept for its buffer.
+    /// Actions of the current event. The buffer is reused.
     actions: Vec<Action>,
     reply: Reply,
 }
 
 impl PolicyHost {
-    /// Hands the events of a batch to their instances, in order, and writes the reply into `frame`.
+    /// Passes the events of a batch to their instances, in order, and writes the reply into `frame`.
     ///
     /// # Errors
-    /// Where a record is malformed or does not fit what was sent before it. No reply is written then.
+    /// Returns an error if a record is malformed or inconsistent with earlier ones. No reply is written in that
+    /// case.
     pub fn handle_batch(
         &mut self,
         header: BatchHeader,
@@ -119,7 +120,7 @@
         Ok(())
     }
 
-    /// The endpoints of a list update, none where the update says that there is no list.
+    /// The endpoints of a list update; empty if the update carries no list.
     fn listed_endpoints(
         &self,
         update: ListUpdate,
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,12 +1,14 @@
-//! Runs instances of the routing policy on a simulator's wire protocol. It translates and decides nothing.
+//! Runs instances of the routing policy on a simulator's wire protocol. It only translates; all decisions are
+//! made by the policy.
 //!
-//! The simulator sends batches: a header, event records of a fixed size, and a tail for what has no fixed size. Each
-//! batch is answered, before the next is read, by a reply of action records and a tail. Numbers are little-endian.
+//! The simulator sends batches: a header, event records of fixed size, and a tail for data of variable size.
+//! The adapter answers each batch, before it reads the next one, with a reply of action records and a tail.
+//! Numbers are little-endian.
 //!
 //! - [`serve`] reads batches from a stream and writes the replies;
-//! - [`host`] keeps the policy instances and hands them their events;
+//! - [`host`] holds the policy instances and passes them their events;
 //! - [`events`] decodes batches, [`actions`] encodes replies;
-//! - [`error`] says what is wrong with an input.
+//! - [`error`] defines the errors.
 
 pub mod actions;
 pub mod error;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! The simulator's adapter as a program: batches on standard input, replies on standard output.
+//! The simulator adapter program. It reads batches from standard input and writes replies to standard output.
 
 use std::io;
 use std::process::ExitCode;
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -1,4 +1,4 @@
-//! The exchange with the simulator: one reply for each batch, until the input ends between two batches.
+//! The session with the simulator: one reply per batch, until the input ends between two batches.
 
 use std::io::{ErrorKind, Read, Write};
 
@@ -9,8 +9,8 @@
 /// Answers batches until the input ends. Each reply is flushed before the next batch is read.
 ///
 /// # Errors
-/// Where the input is truncated or malformed, or reading or writing fails. No part of a reply to a batch that is
-/// malformed is written.
+/// Returns an error if the input is truncated or malformed, or if reading or writing fails. No part of the
+/// reply to a malformed batch is written.
 pub fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut host = PolicyHost::default();
     let mut header_bytes = [0u8; BATCH_HEADER_SIZE];
@@ -28,7 +28,7 @@
     Ok(())
 }
 
-/// Reads a header; `false` where the input ended before its first byte.
+/// Reads a header. Returns `false` if the input ended before its first byte.
 fn read_header(input: &mut impl Read, buffer: &mut [u8]) -> Result<bool, AdapterError> {
     let mut received = 0;
     while received < buffer.len() {
@@ -49,7 +49,7 @@
     body: &mut Vec<u8>,
 ) -> Result<(), AdapterError> {
     body.clear();
-    // Read through `take`, so that a false length does not reserve memory that never fills.
+    // Reads through `take`, so that a wrong length in the header does not cause a large allocation.
     let received = input
         .by_ref()
         .take(header.length as u64)
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,11 +1,11 @@
-//! Little-endian numbers at given offsets of a record.
+//! Reads little-endian numbers at given offsets of a record.
 
-/// Offset of the code of an event or action record.
+/// Offset of the code in an event or action record.
 pub(crate) const CODE: usize = 0;
-/// Offset of the number of the instance that a record is for or from.
+/// Offset of the instance number in an event or action record.
 pub(crate) const INSTANCE: usize = 1;
 
-/// A record whose fields are read by their offsets, all of which lie within it.
+/// Reads the fields of a record by their offsets. All offsets must lie within the record.
 #[derive(Clone, Copy)]
 pub(crate) struct RecordReader<'a> {
     bytes: &'a [u8],
@@ -16,7 +16,7 @@
         RecordReader { bytes }
     }
 
-    /// The part of the record from an offset on.
+    /// The rest of the record, starting at an offset.
     pub(crate) fn from(self, offset: usize) -> RecordReader<'a> {
         RecordReader::new(&self.bytes[offset..])
     }
--- a/crates/simulator-adapter/tests/codec.rs
+++ b/crates/simulator-adapter/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The codes and offsets of the records on the simulator's wire.
+//! Checks the codes and offsets of the records on the simulator's wire protocol.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -16,7 +16,7 @@
     u32::from_le_bytes(bytes[offset..offset + 4].try_into().unwrap())
 }
 
-/// The record and the tail that an action of instance 3 is encoded to.
+/// Encodes an action of instance 3 and returns its record and the tail.
 fn encoded(action: &Action) -> (Vec<u8>, Vec<u8>) {
     let mut reply = Reply::default();
     let mut frame = Vec::new();
@@ -29,7 +29,7 @@
     (record.to_vec(), tail.to_vec())
 }
 
-/// An action record of instance 3 with some fields, by their offsets.
+/// Builds an action record of instance 3 from a code and fields at given offsets.
 fn record(code: u8, fields: &[(usize, &[u8])]) -> Vec<u8> {
     let mut record = vec![0; ACTION_SIZE];
     record[0] = code;
@@ -40,7 +40,7 @@
     record
 }
 
-/// An action and what it is encoded to.
+/// An action and its expected encoding.
 struct Case {
     action: Action,
     record: Vec<u8>,
--- a/crates/simulator-adapter/tests/frames.rs
+++ b/crates/simulator-adapter/tests/frames.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process: batches built by hand go in, replies are read byte by byte.
+//! Runs the adapter as a process. Batches are built by hand and replies are parsed byte by byte.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -44,7 +44,7 @@
         self.record(5, instance, &[(3, &7u64.to_le_bytes()), (11, &reference)])
     }
 
-    /// A list of ready servers (id and kind), then a notification of the instance.
+    /// Adds a list of ready servers (ID and kind), and notifies the instance of it.
     fn list(
         &mut self,
         instance: u16,
@@ -85,7 +85,7 @@
         id: u64,
         attempt: u16,
         server: u32,
-        code: u16,
+        status: u16,
     ) -> &mut Self {
         let (id, attempt, server) = (
             id.to_le_bytes(),
@@ -98,7 +98,7 @@
             &[
                 (3, &id),
                 (19, &attempt),
-                (22, &code.to_le_bytes()),
+                (22, &status.to_le_bytes()),
                 (24, &server),
             ],
         )
@@ -127,28 +127,28 @@
 
 fn run(input: &[u8]) -> Output {
     let mut child = spawn();
-    // It may stop reading at an error: a broken pipe is then expected.
+    // The adapter may stop reading at an error; a broken pipe is then expected.
     let _ = child.stdin.take().expect("piped").write_all(input);
     child.wait_with_output().expect("ended")
 }
 
-fn u32_at(b: &[u8], at: usize) -> u32 {
-    u32::from_le_bytes(b[at..at + 4].try_into().unwrap())
+fn u32_at(bytes: &[u8], offset: usize) -> u32 {
+    u32::from_le_bytes(bytes[offset..offset + 4].try_into().unwrap())
 }
 
-/// The action records of the replies in an output, by batch.
-fn replies(mut out: &[u8]) -> Vec<Vec<Vec<u8>>> {
+/// The action records of the replies in an output, one list per batch.
+fn replies(mut output: &[u8]) -> Vec<Vec<Vec<u8>>> {
     let mut replies = Vec::new();
-    while !out.is_empty() {
-        let (count, length) = (u32_at(out, 0) as usize, u32_at(out, 4) as usize);
+    while !output.is_empty() {
+        let (count, length) = (u32_at(output, 0) as usize, u32_at(output, 4) as usize);
         assert!(length >= count * 24);
-        let body = &out[12..12 + length];
+        let body = &output[12..12 + length];
         replies.push(
             (0..count)
                 .map(|i| body[i * 24..(i + 1) * 24].to_vec())
                 .collect(),
         );
-        out = &out[12 + length..];
+        output = &output[12 + length..];
     }
     replies
 }
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn an_empty_batch_has_the_reply_of_the_protocol_page() {
+fn an_empty_batch_gets_the_documented_reply() {
     let input = [
         0x5a, 0x5c, 0x80, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0,
     ];
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn no_input_ends_successfully_without_output() {
+fn empty_input_ends_successfully_without_output() {
     let output = run(&[]);
     assert!(output.status.success() && output.stdout.is_empty() && output.stderr.is_empty());
 }
@@ -200,7 +200,7 @@
     assert_eq!(sends(&reply), [(3, 77, 11)]);
     assert!(
         reply.iter().any(|r| r[0] == 11 && r[3] == 1),
-        "subscribes where discovery is polled"
+        "subscribes if discovery is polled"
     );
     let mut second = Batch::default();
     second.outcome(3, 77, 0, 11, 204);
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn every_event_of_the_wire_is_decoded() {
+fn every_event_of_the_protocol_is_decoded() {
     let mut batch = Batch::default();
     batch
         .start(0, SETTINGS)
@@ -261,16 +261,16 @@
     );
     batch.record(10, 0, &[(9, &[2])]);
     batch.record(11, 0, &[(3, &1u32.to_le_bytes()), (7, &reference)]);
-    for (attempt, code) in [200, 502, 429, 408, 521, 520, 444, 409, 204]
+    for (attempt, status) in [200, 502, 429, 408, 521, 520, 444, 409, 204]
         .into_iter()
         .enumerate()
     {
-        batch.outcome(0, 1, attempt as u16, 11, code);
+        batch.outcome(0, 1, attempt as u16, 11, status);
     }
     assert!(run(&batch.frame(1_000_000, 1)).status.success());
 }
 
-/// Checks that the adapter stops at an input with one line of error and no partial reply.
+/// Checks that the adapter stops at this input with a one-line error message and writes no part of a reply.
 fn assert_rejected(expected: &str, input: &[u8]) {
     let output = run(input);
     let message = String::from_utf8(output.stderr).unwrap();
@@ -294,21 +294,21 @@
 }
 
 #[test]
-fn a_truncated_frame_ends_with_one_line_of_error_and_no_partial_reply() {
+fn a_truncated_frame_causes_a_one_line_error_and_no_partial_reply() {
     let complete = started().frame(1_000_000, 1);
-    let mut long = complete.clone();
-    long[8..12].copy_from_slice(&u32::MAX.to_le_bytes());
+    let mut too_long = complete.clone();
+    too_long[8..12].copy_from_slice(&u32::MAX.to_le_bytes());
     let mut too_many_records = complete.clone();
     too_many_records[12..16].copy_from_slice(&u32::MAX.to_le_bytes());
     assert_rejected("truncated frame", &complete[..10]);
     assert_rejected("truncated frame", &complete[..60]);
-    assert_rejected("truncated frame", &long);
+    assert_rejected("truncated frame", &too_long);
     assert_rejected("records exceed", &too_many_records);
 }
 
 #[test]
-fn a_malformed_record_ends_with_one_line_of_error_and_no_partial_reply() {
-    /// A reference to bytes that no tail has.
+fn a_malformed_record_causes_a_one_line_error_and_no_partial_reply() {
+    /// A reference to a range outside the tail.
     const OUTSIDE: [u8; 8] = [0xff, 0xff, 0xff, 0xff, 9, 0, 0, 0];
     struct Case {
         expected: &'static str,
@@ -322,10 +322,10 @@
         case("unknown outcome 999", |batch| {
             batch.outcome(0, 1, 0, 11, 999)
         }),
-        case("leave the frame", |batch| {
+        case("outside the frame", |batch| {
             batch.record(9, 0, &[(3, &OUTSIDE)])
         }),
-        case("leave the frame", |batch| {
+        case("outside the frame", |batch| {
             batch.record(11, 0, &[(7, &OUTSIDE)])
         }),
         case("out of range", |batch| batch.record(9, 16, &[])),
@@ -344,7 +344,7 @@
 }
 
 #[test]
-fn unreadable_settings_end_with_one_line_of_error_and_no_partial_reply() {
+fn unreadable_settings_cause_a_one_line_error_and_no_partial_reply() {
     for settings in [
         "{\"classes\": 3}",
         "{\"classes\": [{\"effect\": \"maybe\"}]}",
