--- a/crates/cache-router/src/config.rs
+++ b/crates/cache-router/src/config.rs
@@ -1,5 +1,5 @@
-//! The configuration that the platform gives the router: the file that `$ROUTER_CONFIG` names and the variables beside
-//! it, read into typed values. Anything unusable in it is an error at the start, never a default.
+//! The configuration that the platform provides: the file named by `$ROUTER_CONFIG`, and environment variables. They
+//! are read into typed values. An unusable value is an error at startup and is never replaced by a default.
 
 use std::net::SocketAddr;
 
@@ -11,35 +11,35 @@
 
 use crate::message::EndpointListUpdate;
 
-/// Path of the configuration file.
+/// Environment variable with the path of the configuration file.
 const CONFIG_VARIABLE: &str = "ROUTER_CONFIG";
-/// Address that takes the place of the file's `listen`.
+/// Environment variable that overrides `listen` of the file.
 const LISTEN_VARIABLE: &str = "ROUTER_LISTEN";
-/// Address that takes the place of the file's `discovery`.
+/// Environment variable that overrides `discovery` of the file.
 const DISCOVERY_VARIABLE: &str = "ROUTER_DISCOVERY";
 
-/// Fewer sockets than this leave none for clients and servers beside the router's own.
+/// Minimum number of sockets. With fewer, none are left for clients and servers after the router's own.
 const MIN_SOCKETS: usize = 32;
-/// The most sockets, whatever the file says, and the number where it says nothing.
+/// Maximum number of sockets, which is also the default.
 const MAX_SOCKETS: usize = 1024;
 
-/// What the router is told at its start.
+/// The configuration of the router.
 pub struct Config {
-    /// Where clients connect.
+    /// Address on which the router listens for clients.
     pub listen: SocketAddr,
-    /// Where discovery is reached.
+    /// Address of discovery.
     pub discovery: SocketAddr,
     /// Seed of the policy's random numbers.
     pub seed: u64,
-    /// The most sockets that the process may hold, all counted.
+    /// Maximum number of sockets of the process, for all purposes.
     pub max_sockets: usize,
-    /// The endpoint list that the router had when it last ran; empty if there is none.
+    /// The endpoint list from the router's previous run; empty if there is none.
     pub cached_list: EndpointListUpdate,
     /// The settings of the deployment.
     pub deployment: Deployment,
 }
 
-/// Why a configuration can't be used.
+/// The reason why a configuration is unusable.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// A required environment variable is not set.
@@ -48,20 +48,20 @@
         /// Its name.
         name: &'static str,
     },
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("cannot read {path}: {source}; check the path in `$ROUTER_CONFIG` and who may read it")]
     Unreadable {
         /// Path of the file.
         path: String,
-        /// What the system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The file is not JSON, or not in the form of a configuration.
-    #[error("{path} is no configuration: {source}; write it whole, as JSON")]
+    /// The file is not JSON, or does not have the form of a configuration.
+    #[error("{path} is not a valid configuration: {source}; write a complete JSON file")]
     Malformed {
         /// Path of the file.
         path: String,
-        /// What is wrong, and where in the file.
+        /// The error and its position in the file.
         source: serde_json::Error,
     },
     /// A field is missing or has an unusable value.
@@ -72,15 +72,15 @@
         /// Its value; empty if it is missing.
         value: String,
     },
-    /// The settings can't be used.
+    /// The settings are unusable.
     #[error("{source} ({path})")]
     Settings {
         /// Path of the file.
         path: String,
-        /// What is wrong with them.
+        /// The cause.
         source: SettingsError,
     },
-    /// The settings name no class of requests: no request could be served.
+    /// The settings define no request class, so no request could be served.
     #[error("the settings name no class of requests ({path})")]
     NoClass {
         /// Path of the file.
@@ -89,9 +89,9 @@
 }
 
 impl ConfigError {
-    /// Whether the file may be usable in a moment: it cannot be read, or is cut off or no JSON, as a file that is just
-    /// being written. A file that is whole stays as it is.
-    pub fn may_pass(&self) -> bool {
+    /// Returns whether the error may be transient: the file cannot be read, is truncated, or is not JSON, as may be the
+    /// case while it is being written. Errors in a complete file are permanent.
+    pub fn is_transient(&self) -> bool {
         match self {
             ConfigError::Unreadable { .. } => true,
             ConfigError::Malformed { source, .. } => source.is_eof() || source.is_syntax(),
@@ -103,7 +103,7 @@
     }
 }
 
-/// The configuration file. Its keys are the platform's.
+/// The configuration file. The platform defines its keys.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct ConfigFile {
@@ -130,12 +130,12 @@
     }
 }
 
-/// Reads the address of discovery from the configuration file. The variable beside it is not used, since it is as old
-/// as the process.
+/// Reads the address of discovery from the configuration file. The environment variable is not used, since its value
+/// was set when the process started.
 ///
 /// # Errors
 ///
-/// If the file can't be read or names no usable address.
+/// If the file cannot be read or has no usable address.
 pub fn read_discovery_address() -> Result<SocketAddr, ConfigError> {
     let path = config_path()?;
     parse_address("discovery", ConfigFile::read(&path)?.discovery)
@@ -146,7 +146,7 @@
     ///
     /// # Errors
     ///
-    /// If it can't be read or any part of it is unusable.
+    /// If it cannot be read or any part of it is unusable.
     pub fn from_env() -> Result<Config, ConfigError> {
         let path = config_path()?;
         let file = ConfigFile::read(&path)?;
@@ -157,8 +157,8 @@
                 value: file.limits.sockets.to_string(),
             });
         }
-        let listen = variable(LISTEN_VARIABLE).unwrap_or(file.listen);
-        let discovery = variable(DISCOVERY_VARIABLE).unwrap_or(file.discovery);
+        let listen = env_variable(LISTEN_VARIABLE).unwrap_or(file.listen);
+        let discovery = env_variable(DISCOVERY_VARIABLE).unwrap_or(file.discovery);
         Ok(Config {
             listen: parse_address("listen", listen)?,
             discovery: parse_address("discovery", discovery)?,
@@ -184,13 +184,13 @@
 }
 
 fn config_path() -> Result<String, ConfigError> {
-    variable(CONFIG_VARIABLE).ok_or(ConfigError::UnsetVariable {
+    env_variable(CONFIG_VARIABLE).ok_or(ConfigError::UnsetVariable {
         name: CONFIG_VARIABLE,
     })
 }
 
-/// An environment variable; one that is empty counts as not set.
-fn variable(name: &str) -> Option<String> {
+/// Returns the value of an environment variable; an empty one counts as not set.
+fn env_variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
 
@@ -220,7 +220,7 @@
         .map_err(|_| ConfigError::InvalidField { name, value })
 }
 
-/// The seed as a hexadecimal number; the hash of any other text.
+/// Parses the seed as a hexadecimal number. Any other text is hashed.
 fn parse_seed(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| xxh3_64(text.as_bytes()))
 }
--- a/crates/cache-router/src/lifecycle.rs
+++ b/crates/cache-router/src/lifecycle.rs
@@ -1,41 +1,47 @@
-//! The router's lifecycle, from its start to the end of its shutdown. It owns the deadlines of the shutdown; the event
-//! loop keeps the timers and reports when they are due.
+//! The router's lifecycle, from startup to the end of shutdown. This module computes the deadlines of the shutdown; the
+//! event loop keeps the timers and reports when they are due.
 
 use routing_policy::Micros;
 use tokio::sync::watch;
 
-/// After SIGTERM, new connections are accepted for this long: clients go on opening them for up to 0.4 s.
+/// After SIGTERM, new connections are accepted for this long, in microseconds, because clients continue to open them
+/// for up to 0.4 s.
 const ACCEPT_AFTER_TERMINATE: Micros = 450_000;
-/// The shutdown ends at the latest this long after the longest deadline of a request class.
+/// The shutdown ends no later than this many microseconds after the longest deadline of a request class, counted from
+/// SIGTERM.
 const SHUTDOWN_SLACK: Micros = 550_000;
-/// The platform kills a router no sooner than the longest deadline after SIGTERM, of which it counts this much at most.
+/// The platform kills a router no sooner than the longest deadline of a request class after SIGTERM, but it counts that
+/// deadline as at most this many microseconds.
 pub const KILL_LONGEST_DEADLINE: Micros = 3_000_000;
-/// The platform adds this much before it kills: what arrived 0.7 s after SIGTERM or later has its reply by then.
+/// The platform waits this many microseconds longer before it kills a router. Requests that arrive 0.7 s after SIGTERM
+/// or later must have their reply by then.
 pub const KILL_SLACK: Micros = 700_000;
-/// Time to write the last replies, before the router ends and before it may be killed.
+/// Time reserved for writing the last replies, in microseconds, both before the router exits and before it may be
+/// killed.
 pub const FINAL_WRITE_TIME: Micros = 100_000;
-/// How long the process may be held up between reading its clock and writing.
-const LONGEST_HOLD_UP: Micros = 150_000;
-/// How long after new connections are no longer accepted the router first checks whether it has finished.
+/// The longest time for which the process may be suspended between reading its clock and writing, in microseconds.
+const MAX_SUSPENSION: Micros = 150_000;
+/// Delay from the end of accepting connections to the first check whether the router has finished, in microseconds.
 const FIRST_FINISHED_CHECK: Micros = 20_000;
-/// How often it checks from then on.
+/// Interval between further checks, in microseconds.
 const FINISHED_CHECK_INTERVAL: Micros = 10_000;
 
-/// The phase of the router's life.
+/// A phase of the router's lifecycle.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum LifecyclePhase {
-    /// It has no endpoint list with a ready server yet.
+    /// No endpoint list has had a ready server yet.
     Starting,
-    /// It serves.
+    /// The router serves requests.
     Ready,
-    /// It shuts down: client connections are closed between requests.
+    /// The router is shutting down: client connections are closed between requests.
     Draining,
-    /// The end of the shutdown is near: no further command is accepted, so that none is left without a reply.
+    /// The end of the shutdown is near: no further command is accepted, so that no accepted command is left without a
+    /// reply.
     Closing,
 }
 
 impl LifecyclePhase {
-    /// Whether client connections are closed between requests.
+    /// Returns whether client connections are closed between requests.
     pub fn is_shutting_down(self) -> bool {
         matches!(self, LifecyclePhase::Draining | LifecyclePhase::Closing)
     }
@@ -44,35 +50,35 @@
 /// A step of the shutdown. The order decides between timers that are due at the same time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownStep {
-    /// Stop accepting connections, and close those of clients between requests.
+    /// Stop accepting connections, and close client connections between requests.
     Drain,
-    /// Accept no further command.
+    /// Accept no further commands.
     Close,
-    /// Check whether all is finished.
+    /// Check whether the router has finished.
     CheckFinished,
 }
 
 /// A step of the shutdown and when it is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ScheduledStep {
-    /// When it is due.
+    /// When the step is due.
     pub at: Micros,
     /// The step.
     pub step: ShutdownStep,
 }
 
-/// The deadlines of a shutdown that has begun.
+/// The deadlines of a shutdown in progress.
 #[derive(Debug, Clone, Copy)]
 struct ShutdownDeadlines {
-    /// Requests have their reply by then.
+    /// All requests have their reply by this time.
     reply_by: Micros,
-    /// The router ends by then, finished or not.
+    /// The router exits by this time, even if it has not finished.
     end_by: Micros,
-    /// No further command is accepted, and the last replies are being written.
+    /// Whether the last replies are being written and no further command is accepted.
     is_closing: bool,
 }
 
-/// The state machine of the router's life, which publishes its phase to the tasks of the clients.
+/// The state machine of the router's lifecycle. It publishes the phase to the client tasks.
 pub struct Lifecycle {
     phase: watch::Sender<LifecyclePhase>,
     has_been_ready: bool,
@@ -82,7 +88,8 @@
 }
 
 impl Lifecycle {
-    /// A router that starts. `phase` tells the clients' tasks, `longest_deadline` is that of all request classes.
+    /// Creates the lifecycle of a router that is starting. `phase` publishes to the client tasks; `longest_deadline` is
+    /// the longest of all request classes.
     pub fn new(phase: watch::Sender<LifecyclePhase>, longest_deadline: Micros) -> Self {
         Lifecycle {
             phase,
@@ -92,12 +99,12 @@
         }
     }
 
-    /// Whether the router has had a ready server at any time.
+    /// Returns whether the router has ever had a ready server.
     pub fn has_been_ready(&self) -> bool {
         self.has_been_ready
     }
 
-    /// The first ready server is known: the router serves, unless its shutdown has begun.
+    /// Records that a ready server is known. The router serves requests from then on, unless its shutdown has begun.
     pub fn become_ready(&mut self) {
         self.has_been_ready = true;
         self.phase.send_if_modified(|phase| {
@@ -109,16 +116,17 @@
         });
     }
 
-    /// Begins the shutdown; the steps to schedule, or `None` if it has begun before.
+    /// Begins the shutdown. Returns the steps to schedule, or `None` if the shutdown had begun before.
     pub fn begin_shutdown(&mut self, now: Micros) -> Option<[ScheduledStep; 3]> {
         if self.shutdown.is_some() {
             return None;
         }
         let end_by = now + self.longest_deadline + SHUTDOWN_SLACK;
         let killed_at = now + self.longest_deadline.min(KILL_LONGEST_DEADLINE) + KILL_SLACK;
-        // The end waits for a router that was held up, and the kill does not.
+        // If the router is suspended, its own end is delayed as well, but the platform's kill is not. Only the latter
+        // needs a reserve for a suspension.
         let reply_by =
-            (end_by - FINAL_WRITE_TIME).min(killed_at - FINAL_WRITE_TIME - LONGEST_HOLD_UP);
+            (end_by - FINAL_WRITE_TIME).min(killed_at - FINAL_WRITE_TIME - MAX_SUSPENSION);
         self.shutdown = Some(ShutdownDeadlines {
             reply_by,
             end_by,
@@ -141,12 +149,12 @@
         ])
     }
 
-    /// Stops accepting connections, and closes those of clients between requests.
+    /// Stops accepting connections, and closes client connections between requests.
     pub fn drain(&self) {
         self.publish(LifecyclePhase::Draining);
     }
 
-    /// Accepts no further command. The last replies have their time to be written also if this comes late.
+    /// Stops accepting commands. The time for writing the last replies is reserved even if this step is late.
     pub fn close(&mut self, now: Micros) {
         if let Some(deadlines) = &mut self.shutdown {
             deadlines.is_closing = true;
@@ -155,7 +163,7 @@
         self.publish(LifecyclePhase::Closing);
     }
 
-    /// When to check again whether all is finished.
+    /// Returns the next check whether the router has finished.
     pub fn next_finished_check(&self, now: Micros) -> ScheduledStep {
         ScheduledStep {
             at: now + FINISHED_CHECK_INTERVAL,
@@ -163,29 +171,30 @@
         }
     }
 
-    /// Whether the time of the shutdown is over, finished or not. It never is before the last replies had their time.
+    /// Returns whether the shutdown has reached its end time, even if it has not finished. This is never the case
+    /// before the time for the last replies has passed.
     pub fn is_past_end(&self, now: Micros) -> bool {
         self.shutdown
             .is_some_and(|deadlines| deadlines.is_closing && now >= deadlines.end_by)
     }
 
-    /// The deadline of a request: its own, or the last time for replies of a shutdown that has begun.
+    /// Limits the deadline of a request to the time by which a shutdown in progress must have sent all replies.
     pub fn limit_deadline(&self, deadline: Micros) -> Micros {
         deadline.min(self.reply_by().unwrap_or(Micros::MAX))
     }
 
-    /// When all replies are due, once the shutdown has begun.
+    /// Returns when all replies are due, once the shutdown has begun.
     pub fn reply_by(&self) -> Option<Micros> {
         self.shutdown.map(|deadlines| deadlines.reply_by)
     }
 
-    /// When the router ends at the latest, once the shutdown has begun.
+    /// Returns when the router exits at the latest, once the shutdown has begun.
     pub fn end_by(&self) -> Option<Micros> {
         self.shutdown.map(|deadlines| deadlines.end_by)
     }
 
     fn publish(&self, phase: LifecyclePhase) {
-        // Without a receiver no client is left that would have to know.
+        // Sending fails only if no receiver, and so no client task, is left.
         let _ = self.phase.send(phase);
     }
 }
--- a/crates/cache-router/src/signals.rs
+++ b/crates/cache-router/src/signals.rs
@@ -1,10 +1,10 @@
-//! The signals that the process receives: SIGTERM and SIGINT shut the router down, SIGHUP has it read its configuration
-//! file again for another address of discovery.
+//! Signal handling of the process. SIGTERM and SIGINT shut the router down. On SIGHUP it reads its configuration file
+//! again for a new address of discovery.
 //!
-//! A signal's handler may do little: it sets a flag and writes a byte to a socket on which the runtime waits. The flag
-//! is what counts. The byte only ends the runtime's sleep, and is not needed if its write fails: the runtime looks at
-//! the flags whenever it goes to sleep and whenever it wakes up, and a signal wakes it up by itself. Only a signal that
-//! arrives in the moment between the last look and the sleep, and whose byte is lost too, waits for the next event.
+//! A signal handler may do only little: it sets a flag and writes a byte to a socket on which the runtime waits. The
+//! flag holds the state. The byte only wakes the runtime, and its write may fail without harm: the runtime checks the
+//! flags before and after each sleep, and the signal itself ends a sleep. There is one exception. If a signal arrives
+//! between the last check and the sleep, and its byte is lost too, it is handled only at the next event.
 
 use std::future;
 use std::io;
@@ -26,11 +26,12 @@
 use crate::socket::errors::{ErrorMeaning, classify, is_not_ready};
 use crate::socket::stream::LOCAL_RETRY_PAUSE;
 
-/// How many bytes of wake-ups are read at a time.
-const WAKE_UPS_READ: usize = 64;
-/// After SIGHUP, the file is read again after these pauses, until it names another address of discovery: it may be
-/// replaced at that moment, or not be readable. What discovery reports counts as known 4 s after the signal.
-const REREAD_PAUSES: [Duration; 7] = [
+/// Size of the buffer for wake-up bytes.
+const WAKE_UP_BUFFER_BYTES: usize = 64;
+/// After SIGHUP, the file is read again after each of these delays until it names a new address of discovery, because
+/// it may be in the process of replacement, or be unreadable for a moment. What discovery reports counts as known to
+/// the router 4 s after the signal.
+const REREAD_DELAYS: [Duration; 7] = [
     Duration::from_millis(20),
     Duration::from_millis(50),
     Duration::from_millis(100),
@@ -40,30 +41,30 @@
     Duration::from_millis(1_000),
 ];
 
-/// A read of the configuration file that is due.
+/// A scheduled read of the configuration file.
 #[derive(Clone, Copy)]
 struct ScheduledRead {
     at: Instant,
-    /// How many reads there were since the signal.
+    /// Number of reads since the signal.
     reads_before: usize,
 }
 
-/// The signals that have arrived and are not handled yet.
+/// The signals that have arrived and have not been handled yet.
 #[derive(Default)]
 pub struct PendingSignals {
     shutdown: Arc<AtomicBool>,
     reload: Arc<AtomicBool>,
-    /// Wakes the task that handles them.
+    /// Wakes the task that handles signals.
     arrived: Notify,
 }
 
 impl PendingSignals {
-    /// Whether the router has been told to shut down and has not begun to.
+    /// Returns whether a shutdown was requested and has not begun.
     pub fn is_shutdown_requested(&self) -> bool {
         self.shutdown.load(Ordering::SeqCst)
     }
 
-    /// Wakes the task that handles signals if there are any. The runtime calls this before and after each sleep.
+    /// Wakes the task that handles signals if any are pending. The runtime calls this before and after each sleep.
     pub fn wake_handler(&self) {
         if self.is_shutdown_requested() || self.reload.load(Ordering::SeqCst) {
             self.arrived.notify_one();
@@ -71,16 +72,16 @@
     }
 }
 
-/// The bytes that the handlers of signals write, before the runtime waits for them.
+/// The receiving socket for the wake-up bytes of the signal handlers, before it is registered with the runtime.
 pub struct UnregisteredWakeUps(StdUnixStream);
 
-/// The bytes that the handlers of signals write.
+/// The receiving socket for the wake-up bytes of the signal handlers.
 pub struct WakeUps(UnixStream);
 
-/// Takes the signals over from the system.
+/// Installs the signal handlers.
 ///
 /// # Errors
-/// If the system does not allow it. It can be tried again.
+/// If the system does not allow it. The call can be retried.
 pub fn install(pending: &PendingSignals) -> io::Result<UnregisteredWakeUps> {
     let (receiver, sender) = StdUnixStream::pair()?;
     receiver.set_nonblocking(true)?;
@@ -97,33 +98,33 @@
 }
 
 impl From<StdUnixStream> for UnregisteredWakeUps {
-    /// From a socket that does not block.
+    /// Wraps a non-blocking socket.
     fn from(receiver: StdUnixStream) -> Self {
         UnregisteredWakeUps(receiver)
     }
 }
 
 impl UnregisteredWakeUps {
-    /// Has the runtime in whose context this is called wait for them.
+    /// Registers the socket with the runtime in whose context this is called.
     ///
     /// # Errors
-    /// If the system does not allow it. It can be tried again.
-    pub fn in_runtime(&self) -> io::Result<WakeUps> {
+    /// If the system does not allow it. The call can be retried.
+    pub fn register_with_runtime(&self) -> io::Result<WakeUps> {
         UnixStream::from_std(self.0.try_clone()?).map(WakeUps)
     }
 }
 
 impl WakeUps {
-    /// Waits for a byte, and reads all that there are.
+    /// Waits for a byte, then reads all available bytes.
     async fn wait(&self) {
         if self.0.readable().await.is_err() {
-            // The runtime shuts down.
+            // The runtime is shutting down.
             return future::pending().await;
         }
-        let mut sink = [0; WAKE_UPS_READ];
+        let mut buffer = [0; WAKE_UP_BUFFER_BYTES];
         loop {
-            match self.0.try_read(&mut sink) {
-                // The handlers never close it.
+            match self.0.try_read(&mut buffer) {
+                // The signal handlers never close the sending socket, so this does not occur.
                 Ok(0) => return future::pending().await,
                 Ok(_) => {}
                 Err(error) if is_not_ready(&error) => return,
@@ -134,34 +135,34 @@
     }
 }
 
-/// Receives the process's signals and reports them to the event loop.
+/// Handles the signals of the process and reports them to the event loop.
 pub struct SignalHandler {
     /// The signals that have arrived.
     pub signals: Arc<PendingSignals>,
-    /// What tells that there are any.
+    /// Wakes the task when a signal arrives.
     pub wake_ups: WakeUps,
-    /// The event loop.
+    /// Channel to the event loop.
     pub events: mpsc::Sender<RouterEvent>,
     /// The address of discovery when the file was last read.
     pub discovery: SocketAddr,
 }
 
 impl SignalHandler {
-    /// Handles signals until the task is ended.
+    /// Handles signals until the task is aborted.
     pub async fn run(mut self) {
         let mut next_read: Option<ScheduledRead> = None;
         loop {
             if self.signals.shutdown.swap(false, Ordering::SeqCst) {
                 self.request_shutdown().await;
             }
-            // Also during a shutdown: its last requests must not go to a server that drains.
+            // Handled during a shutdown too, so that its last requests do not go to a draining server.
             if self.signals.reload.swap(false, Ordering::SeqCst) {
                 next_read = self.read_configuration(0).await;
             }
             tokio::select! {
                 () = self.signals.arrived.notified() => {}
                 () = self.wake_ups.wait() => {}
-                reads_before = due(next_read) => {
+                reads_before = wait_until_due(next_read) => {
                     next_read = self.read_configuration(reads_before).await;
                 }
             }
@@ -169,14 +170,15 @@
     }
 
     async fn request_shutdown(&self) {
-        // It fails only if the event loop has ended, and the process is about to.
+        // Sending fails only if the event loop has ended, in which case the process is about to exit.
         let _ = self.events.send(RouterEvent::Terminate).await;
     }
 
-    /// Reads the configuration file, and reports another address of discovery; when to read it again, if ever.
+    /// Reads the configuration file and reports a new address of discovery. Returns when to read the file again, if at
+    /// all.
     async fn read_configuration(&mut self, reads_before: usize) -> Option<ScheduledRead> {
-        let next_read = REREAD_PAUSES.get(reads_before).map(|pause| ScheduledRead {
-            at: Instant::now() + *pause,
+        let next_read = REREAD_DELAYS.get(reads_before).map(|delay| ScheduledRead {
+            at: Instant::now() + *delay,
             reads_before: reads_before + 1,
         });
         match config::read_discovery_address() {
@@ -188,7 +190,7 @@
                 return None;
             }
             Ok(_) => {}
-            // Better the address that is known than none.
+            // The known address stays in use.
             Err(error) if next_read.is_none() => {
                 warn!(%error, "the configuration file is unusable; the configuration stays as it was");
             }
@@ -198,8 +200,8 @@
     }
 }
 
-/// Waits until a read is due, forever if there is none; how many reads there were before it.
-async fn due(read: Option<ScheduledRead>) -> usize {
+/// Waits until a read is due, forever if there is none. Returns the number of reads before it.
+async fn wait_until_due(read: Option<ScheduledRead>) -> usize {
     let Some(read) = read else {
         return future::pending().await;
     };
--- a/crates/cache-router/src/startup.rs
+++ b/crates/cache-router/src/startup.rs
@@ -1,5 +1,5 @@
-//! The start of the router: reads its configuration, shares out its sockets, and starts its tasks. A step that fails
-//! for a moment is tried again.
+//! The startup of the router: reads its configuration, divides its sockets between clients and servers, and starts its
+//! tasks. A step with a transient failure is retried.
 
 mod error;
 pub mod retry;
@@ -27,26 +27,26 @@
 
 pub use self::error::StartError;
 
-/// Events that wait between the other tasks and the event loop.
+/// Capacity of the queue of events for the event loop.
 const EVENT_CAPACITY: usize = 1024;
-/// Requests accepted and not yet replied to; each may hold a value of 64 KiB.
+/// Maximum number of requests that are accepted and not yet replied to. Each may hold a value of 64 KiB.
 const MAX_OPEN_REQUESTS: usize = 1024;
-/// Sockets reserved for the listener, discovery and the runtime, and for those that are just being closed.
+/// Sockets reserved for the listener, discovery and the runtime, and for sockets that are just being closed.
 const RESERVED_SOCKETS: usize = 16;
-/// One in this many of the client connections is reserved for rejections.
+/// One in this many client connections is reserved for rejections.
 const CLIENTS_PER_REJECTION: usize = 8;
 
-/// The process that starts.
-struct StartingProcess {
+/// The environment of retries in the router process.
+struct ProcessEnvironment {
     signals: Arc<PendingSignals>,
 }
 
-impl Environment for StartingProcess {
+impl Environment for ProcessEnvironment {
     fn now(&self) -> Instant {
         Instant::now()
     }
 
-    fn pause(&self, duration: Duration) {
+    fn sleep(&self, duration: Duration) {
         thread::sleep(duration);
     }
 
@@ -57,19 +57,19 @@
     fn report(&self, error: &StartError, remaining: Duration) {
         let remaining_ms = remaining.as_millis();
         if dispatcher::has_been_set() {
-            warn!(%error, remaining_ms, "the start has failed, trying again");
+            warn!(%error, remaining_ms, "a startup step failed, trying again");
             return;
         }
-        // The settings of the log are not read yet.
+        // Logging is not set up yet.
         let line = format!("cache-router: {error}; trying again for {remaining_ms} ms\n");
         logging::standard_error().push(line.into_bytes());
     }
 }
 
-/// Runs the router as the environment configures it, until it has shut down.
+/// Runs the router with the configuration that the environment names, until it has shut down.
 ///
 /// # Errors
-/// If the router can't start.
+/// If the router cannot start.
 pub fn run() -> Result<(), StartError> {
     match start_and_serve() {
         Err(StartError::ShutDown) => Ok(()),
@@ -78,18 +78,18 @@
 }
 
 fn start_and_serve() -> Result<(), StartError> {
-    // The trace tells how long after its launch the router was ready.
+    // Started first, because the trace states how long after its launch the router was ready.
     let clock = Clock::start();
     let signals = Arc::new(PendingSignals::default());
-    let retries = Retries::new(StartingProcess {
+    let retries = Retries::new(ProcessEnvironment {
         signals: signals.clone(),
     });
-    // First of all: a signal that has no handler ends the process.
-    let unregistered = retries.run(START_TIMEOUT, || {
+    // Signal handlers are installed before everything else, because a signal without a handler ends the process.
+    let unregistered_wake_ups = retries.run(START_TIMEOUT, || {
         signals::install(&signals).map_err(StartError::Signals)
     })?;
     let settings = retries.run(FILE_TIMEOUT, || Ok(Layers::from_env().read()?))?;
-    let _flushes_log_when_dropped = logging::init(&settings.log)?;
+    let _log_flush_guard = logging::init(&settings.log)?;
     let config = retries.run(FILE_TIMEOUT, || {
         Config::from_env().map_err(StartError::Config)
     })?;
@@ -98,10 +98,12 @@
     })?;
     let listener = retries.run(START_TIMEOUT, || listen(&runtime, config.listen))?;
     let wake_ups = retries.run(START_TIMEOUT, || {
-        let _in_runtime = runtime.enter();
-        unregistered.in_runtime().map_err(StartError::Signals)
+        let _runtime_guard = runtime.enter();
+        unregistered_wake_ups
+            .register_with_runtime()
+            .map_err(StartError::Signals)
     })?;
-    drop(unregistered);
+    drop(unregistered_wake_ups);
     runtime.block_on(serve(StartedRouter {
         config,
         clock,
@@ -113,10 +115,10 @@
     Ok(())
 }
 
-/// The runtime, which looks for signals whenever it goes to sleep or wakes up.
+/// Builds the runtime, which checks for pending signals before and after each sleep.
 ///
 /// # Errors
-/// If the system does not have what it needs. It can be tried again.
+/// If the system lacks the necessary resources. The call can be retried.
 pub fn build_runtime(signals: &Arc<PendingSignals>) -> io::Result<Runtime> {
     let (before_sleep, after_sleep) = (signals.clone(), signals.clone());
     tokio::runtime::Builder::new_current_thread()
@@ -126,11 +128,11 @@
         .build()
 }
 
-/// Listens for clients.
+/// Opens the listening socket for clients.
 fn listen(runtime: &Runtime, address: SocketAddr) -> Result<TcpListener, StartError> {
     let open = async {
         let listener = TcpListener::bind(address).await?;
-        // The address stays part of the message: whoever starts the router on port 0 reads the port from it.
+        // The address is part of the message because programs that start the router on port 0 read the port from it.
         info!("listening on {}", listener.local_addr()?);
         Ok(listener)
     };
@@ -139,7 +141,7 @@
         .map_err(|source| StartError::Listen { address, source })
 }
 
-/// What the start has made.
+/// The parts of a router that were created during startup.
 struct StartedRouter {
     config: Config,
     clock: Clock,
@@ -149,11 +151,11 @@
     wake_ups: WakeUps,
 }
 
-/// Starts the router's tasks, and runs the event loop until the router has shut down.
+/// Starts the router's tasks and runs the event loop until the router has shut down.
 async fn serve(router: StartedRouter) {
     let config = router.config;
     let (events, received_events) = mpsc::channel(EVENT_CAPACITY);
-    let (phase, phase_of_clients) = watch::channel(LifecyclePhase::Starting);
+    let (phase, phase_receiver) = watch::channel(LifecyclePhase::Starting);
     let clock = router.clock;
     let max_connections = connections_per_side(config.max_sockets);
     let client_capacity = Arc::new(Semaphore::new(max_connections));
@@ -163,7 +165,7 @@
         deployment: deployment.clone(),
         clock,
         events: events.clone(),
-        lifecycle: phase_of_clients,
+        lifecycle: phase_receiver,
         connection_slots: client_capacity.clone(),
         reserved_slots: (max_connections / CLIENTS_PER_REJECTION).max(1),
         idle_connections: Arc::default(),
@@ -188,12 +190,14 @@
         clock,
         trace: router.trace,
     });
-    // All of the capacity, that of rejections included: their clients may have replies to be written.
-    let is_idle = move || client_capacity.available_permits() >= max_connections;
-    event_loop.run(received_events, is_idle).await;
+    // All slots count, including those reserved for rejections: their clients may have replies that are not yet
+    // written.
+    let no_client_connected = move || client_capacity.available_permits() >= max_connections;
+    event_loop.run(received_events, no_client_connected).await;
 }
 
-/// The table of sockets is shared out beforehand: clients have one half, servers the other.
+/// Returns the maximum number of connections to clients, which is also that of connections to servers: each side gets
+/// half of the sockets.
 fn connections_per_side(sockets: usize) -> usize {
     (sockets - RESERVED_SOCKETS.min(sockets / 2)) / 2
 }
--- a/crates/cache-router/src/startup/error.rs
+++ b/crates/cache-router/src/startup/error.rs
@@ -1,4 +1,4 @@
-//! Why a router does not start, and which of the reasons may pass.
+//! The reasons why a router cannot start, and which of them are transient.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,25 +9,25 @@
 use crate::config::ConfigError;
 use crate::socket::listen;
 
-/// Why a router does not start.
+/// The reason why a router cannot start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The settings of the program can't be used.
+    /// The settings of the program are unusable.
     #[error(transparent)]
     Settings(#[from] router_config::ConfigError),
-    /// The log can't be set up.
+    /// The log cannot be set up.
     #[error(transparent)]
     Logging(#[from] logging::AlreadySet),
-    /// The configuration can't be used.
+    /// The configuration is unusable.
     #[error("{0}")]
     Config(ConfigError),
-    /// Signals can't be received.
+    /// Signal handlers cannot be installed.
     #[error("cannot receive signals: {0}; {remedy}", remedy = listen::remedy(.0))]
     Signals(io::Error),
-    /// The runtime is not to be had.
-    #[error("cannot wait for events: {0}; {remedy}", remedy = listen::remedy(.0))]
+    /// The async runtime cannot be created.
+    #[error("cannot create the async runtime: {0}; {remedy}", remedy = listen::remedy(.0))]
     Runtime(io::Error),
-    /// The address for clients can't be listened on.
+    /// The router cannot listen on the address for clients.
     #[error("cannot listen on {address}: {source}; {remedy}", remedy = listen::remedy(.source))]
     Listen {
         /// The address for clients.
@@ -35,19 +35,19 @@
         /// The cause.
         source: io::Error,
     },
-    /// The router was told to shut down before it had started.
-    #[error("told to shut down before the start was over")]
+    /// The router received a shutdown signal during startup.
+    #[error("shutdown requested during startup")]
     ShutDown,
 }
 
 impl StartError {
-    /// Whether the step of the start that has failed may succeed if it is tried again.
-    pub fn may_pass(&self) -> bool {
+    /// Returns whether the failed startup step may succeed if it is retried.
+    pub fn is_transient(&self) -> bool {
         match self {
             StartError::Settings(error) => {
                 matches!(error, router_config::ConfigError::Unreadable { .. })
             }
-            StartError::Config(error) => error.may_pass(),
+            StartError::Config(error) => error.is_transient(),
             StartError::Signals(error) | StartError::Runtime(error) => listen::may_pass(error),
             StartError::Listen { source, .. } => listen::may_pass(source),
             StartError::Logging(_) | StartError::ShutDown => false,
--- a/crates/cache-router/tests/lifecycle.rs
+++ b/crates/cache-router/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The phases of the router's life and the deadlines of its shutdown.
+//! The phases of the router's lifecycle and the deadlines of its shutdown.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -14,9 +14,9 @@
 
 /// The longest deadline of a request class.
 const LONGEST_DEADLINE: Micros = 2_000_000;
-/// The operators' longest time for which the process may be held up.
-const LONGEST_HOLD_UP: Micros = 150_000;
-/// When the router is asked to shut down.
+/// The longest time for which the process may be suspended, according to the operators.
+const MAX_SUSPENSION: Micros = 150_000;
+/// When the router is told to shut down.
 const TERMINATED_AT: Micros = 1_000_000_000;
 
 fn lifecycle() -> (Lifecycle, watch::Receiver<LifecyclePhase>) {
@@ -41,7 +41,11 @@
             ShutdownStep::Close
         ]
     );
-    assert_eq!(*phase.borrow(), LifecyclePhase::Ready, "until it drains");
+    assert_eq!(
+        *phase.borrow(),
+        LifecyclePhase::Ready,
+        "unchanged until it drains"
+    );
     lifecycle.drain();
     assert_eq!(*phase.borrow(), LifecyclePhase::Draining);
     lifecycle.close(TERMINATED_AT);
@@ -58,7 +62,7 @@
 }
 
 #[test]
-fn a_second_request_to_shut_down_changes_no_deadline() {
+fn a_second_shutdown_signal_changes_no_deadline() {
     let (mut lifecycle, _phase) = lifecycle();
     lifecycle.begin_shutdown(TERMINATED_AT).unwrap();
     let reply_by = lifecycle.reply_by();
@@ -67,42 +71,49 @@
 }
 
 #[test]
-fn a_shutdown_limits_the_deadlines_of_requests_to_its_last_time_for_replies() {
+fn a_shutdown_limits_the_deadlines_of_requests() {
     let (mut lifecycle, _phase) = lifecycle();
-    let far = TERMINATED_AT + 60_000_000;
-    assert_eq!(lifecycle.limit_deadline(far), far);
+    let distant_deadline = TERMINATED_AT + 60_000_000;
+    assert_eq!(lifecycle.limit_deadline(distant_deadline), distant_deadline);
     lifecycle.begin_shutdown(TERMINATED_AT).unwrap();
     let end_by = lifecycle.end_by().unwrap();
-    // The slack before the end is shorter than the platform's before it kills.
+    // The router's own time limit after the longest deadline is shorter than the platform's before the kill.
     assert!(end_by < TERMINATED_AT + LONGEST_DEADLINE + KILL_SLACK);
-    assert_eq!(lifecycle.limit_deadline(far), end_by - FINAL_WRITE_TIME);
-    // Its end comes after the last replies, which it gives before that.
+    assert_eq!(
+        lifecycle.limit_deadline(distant_deadline),
+        end_by - FINAL_WRITE_TIME
+    );
+    // The router exits only after the time for writing the last replies.
     lifecycle.close(end_by - FINAL_WRITE_TIME);
     assert!(!lifecycle.is_past_end(end_by - 1));
     assert!(lifecycle.is_past_end(end_by));
 }
 
 #[test]
-fn the_last_replies_of_a_shutdown_come_before_the_kill_also_if_the_router_is_held_up() {
+fn the_last_replies_of_a_shutdown_are_written_before_the_kill_even_after_a_suspension() {
     for longest_deadline in [100_000, 500_000, 1_000_000, 3_000_000, 3_100_000, 8_000_000] {
         let mut lifecycle =
             Lifecycle::new(watch::channel(LifecyclePhase::Ready).0, longest_deadline);
         lifecycle.begin_shutdown(TERMINATED_AT).unwrap();
         let killed_at = TERMINATED_AT + longest_deadline.min(KILL_LONGEST_DEADLINE) + KILL_SLACK;
         let reply_by = lifecycle.reply_by().unwrap();
-        assert!(reply_by + LONGEST_HOLD_UP + FINAL_WRITE_TIME <= killed_at);
-        // What comes while connections are still accepted has its whole time, up to what the platform counts.
+        assert!(reply_by + MAX_SUSPENSION + FINAL_WRITE_TIME <= killed_at);
+        // A request that arrives while connections are still accepted has its full deadline, up to the limit that the
+        // platform counts.
         let last_accepted = TERMINATED_AT + 400_000;
-        let whole_time = longest_deadline.min(KILL_LONGEST_DEADLINE);
-        assert!(reply_by >= last_accepted + whole_time, "{longest_deadline}");
+        let counted_deadline = longest_deadline.min(KILL_LONGEST_DEADLINE);
+        assert!(
+            reply_by >= last_accepted + counted_deadline,
+            "{longest_deadline}"
+        );
     }
 }
 
 #[test]
-fn a_router_held_up_through_the_end_of_its_shutdown_still_writes_its_last_replies() {
+fn a_router_suspended_beyond_the_end_of_its_shutdown_still_writes_its_last_replies() {
     let (mut lifecycle, _phase) = lifecycle();
     lifecycle.begin_shutdown(TERMINATED_AT).unwrap();
-    let late = lifecycle.end_by().unwrap() + LONGEST_HOLD_UP;
+    let late = lifecycle.end_by().unwrap() + MAX_SUSPENSION;
     assert!(!lifecycle.is_past_end(late), "its replies are still owed");
     lifecycle.close(late);
     assert!(!lifecycle.is_past_end(late + FINAL_WRITE_TIME - 1));
--- a/crates/cache-router/tests/signals.rs
+++ b/crates/cache-router/tests/signals.rs
@@ -1,4 +1,4 @@
-//! Signals whose wake-up is lost.
+//! A signal is handled although the wake-up byte of its handler is lost.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -19,13 +19,13 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Longer than anything here takes, on the busiest machine.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longer than the test takes on the busiest machine.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[test]
 fn a_signal_is_handled_though_the_write_of_its_handler_is_lost() {
     let signals = Arc::new(PendingSignals::default());
-    // The runtime does not wait for the socket to which the signal's handler writes, but for another.
+    // The runtime waits on another socket than the one to which the signal handler writes.
     let _unread = install(&signals).unwrap();
     let (silent, _never_written) = UnixStream::pair().unwrap();
     silent.set_nonblocking(true).unwrap();
@@ -34,15 +34,17 @@
         let (events, mut received) = mpsc::channel(4);
         let handler = SignalHandler {
             signals,
-            wake_ups: UnregisteredWakeUps::from(silent).in_runtime().unwrap(),
+            wake_ups: UnregisteredWakeUps::from(silent)
+                .register_with_runtime()
+                .unwrap(),
             events,
             discovery: SocketAddr::from(([127, 0, 0, 1], 1)),
         };
         tokio::spawn(handler.run());
-        // The handler has gone to sleep before the signal arrives.
+        // The runtime is asleep when the signal arrives.
         tokio::time::sleep(Duration::from_millis(5)).await;
         raise(SIGTERM).unwrap();
-        let event = timeout(PATIENCE, received.recv()).await;
+        let event = timeout(EVENT_TIMEOUT, received.recv()).await;
         assert!(matches!(event, Ok(Some(RouterEvent::Terminate))));
     });
 }
--- a/crates/cache-router/tests/startup.rs
+++ b/crates/cache-router/tests/startup.rs
@@ -1,4 +1,4 @@
-//! Steps of a start that fail for a moment or for good.
+//! Startup steps with transient and permanent failures.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -15,15 +15,15 @@
 use cache_router::startup::StartError;
 use cache_router::startup::retry::{Environment, FILE_TIMEOUT, Retries, START_TIMEOUT};
 
-/// A process whose time only passes in pauses.
+/// A process whose time advances only while it sleeps.
 #[derive(Clone)]
 struct FakeProcess(Rc<FakeState>);
 
 struct FakeState {
     now: Cell<Instant>,
     reports: RefCell<Vec<String>>,
-    /// After how many pauses it is told to shut down.
-    pauses_until_shutdown: Cell<usize>,
+    /// Number of sleeps until it receives a shutdown signal.
+    sleeps_until_shutdown: Cell<usize>,
 }
 
 impl FakeProcess {
@@ -31,7 +31,7 @@
         FakeProcess(Rc::new(FakeState {
             now: Cell::new(Instant::now()),
             reports: RefCell::default(),
-            pauses_until_shutdown: Cell::new(usize::MAX),
+            sleeps_until_shutdown: Cell::new(usize::MAX),
         }))
     }
 }
@@ -41,15 +41,15 @@
         self.0.now.get()
     }
 
-    fn pause(&self, duration: Duration) {
-        assert!(!duration.is_zero(), "it would spin");
+    fn sleep(&self, duration: Duration) {
+        assert!(!duration.is_zero(), "a retry without a delay");
         self.0.now.set(self.0.now.get() + duration);
-        let left = &self.0.pauses_until_shutdown;
-        left.set(left.get() - 1);
+        let remaining = &self.0.sleeps_until_shutdown;
+        remaining.set(remaining.get() - 1);
     }
 
     fn is_shutdown_requested(&self) -> bool {
-        self.0.pauses_until_shutdown.get() == 0
+        self.0.sleeps_until_shutdown.get() == 0
     }
 
     fn report(&self, error: &StartError, _: Duration) {
@@ -71,20 +71,20 @@
     })
 }
 
-/// How long a step that always fails is tried.
-fn tried_for(timeout: Duration, error: impl Fn() -> StartError) -> Duration {
+/// Returns for how long a step that always fails is retried.
+fn retry_time(timeout: Duration, error: impl Fn() -> StartError) -> Duration {
     let process = FakeProcess::new();
-    let began = process.now();
+    let started_at = process.now();
     let result: Result<(), _> = Retries::new(process.clone()).run(timeout, || Err(error()));
     assert_eq!(result.unwrap_err().to_string(), error().to_string());
-    process.now() - began
+    process.now() - started_at
 }
 
 #[test]
-fn a_step_that_fails_for_a_moment_succeeds_and_is_reported_once() {
+fn a_step_with_a_transient_failure_succeeds_and_is_reported_once() {
     for errno in [libc::ENFILE, libc::ENOBUFS, libc::EMFILE, libc::EADDRINUSE] {
         let process = FakeProcess::new();
-        let began = process.now();
+        let started_at = process.now();
         let mut tries = 0;
         let result = Retries::new(process.clone()).run(START_TIMEOUT, || {
             tries += 1;
@@ -95,36 +95,36 @@
         });
         assert_eq!(result.unwrap(), "listening");
         assert_eq!(process.0.reports.borrow().len(), 1);
-        assert!(process.now() - began < Duration::from_millis(200));
+        assert!(process.now() - started_at < Duration::from_millis(200));
     }
 }
 
 #[test]
-fn a_step_that_fails_for_long_ends_the_start_with_what_to_do_in_time() {
+fn a_step_that_keeps_failing_ends_the_startup_in_time_with_a_remedy() {
     let error = cannot_listen(libc::EADDRINUSE);
     assert!(error.to_string().contains("end the process"), "{error}");
-    let tried = tried_for(START_TIMEOUT, || cannot_listen(libc::EADDRINUSE));
-    assert_eq!(tried, START_TIMEOUT);
+    let retried_for = retry_time(START_TIMEOUT, || cannot_listen(libc::EADDRINUSE));
+    assert_eq!(retried_for, START_TIMEOUT);
     assert!(
-        tried <= Duration::from_secs(10),
+        retried_for <= Duration::from_secs(10),
         "ready within 10 s as a rule"
     );
 }
 
 #[test]
-fn all_steps_of_a_start_share_its_time() {
+fn all_steps_of_a_startup_share_its_time_limit() {
     let process = FakeProcess::new();
     let retries = Retries::new(process.clone());
-    let began = process.now();
+    let started_at = process.now();
     for _ in 0..2 {
         let step = || Err::<(), _>(cannot_listen(libc::EMFILE));
         retries.run(START_TIMEOUT, step).unwrap_err();
     }
-    assert_eq!(process.now() - began, START_TIMEOUT);
+    assert_eq!(process.now() - started_at, START_TIMEOUT);
 }
 
 #[test]
-fn a_file_that_cannot_be_read_or_is_cut_off_is_waited_for() {
+fn a_file_that_is_unreadable_or_truncated_is_retried() {
     let unreadable = || {
         StartError::Config(ConfigError::Unreadable {
             path: "config.json".into(),
@@ -137,36 +137,36 @@
             source: io::Error::from_raw_os_error(libc::EIO),
         })
     };
-    for tried in [
-        tried_for(FILE_TIMEOUT, unreadable),
-        tried_for(FILE_TIMEOUT, settings),
-        tried_for(FILE_TIMEOUT, || malformed("")),
-        tried_for(FILE_TIMEOUT, || malformed("12 34")),
+    for retried_for in [
+        retry_time(FILE_TIMEOUT, unreadable),
+        retry_time(FILE_TIMEOUT, settings),
+        retry_time(FILE_TIMEOUT, || malformed("")),
+        retry_time(FILE_TIMEOUT, || malformed("12 34")),
     ] {
-        assert_eq!(tried, FILE_TIMEOUT);
+        assert_eq!(retried_for, FILE_TIMEOUT);
     }
 }
 
 #[test]
-fn what_cannot_pass_fails_at_once() {
+fn permanent_errors_fail_at_once() {
     let no_class = || {
         StartError::Config(ConfigError::NoClass {
             path: "config.json".into(),
         })
     };
-    for tried in [
-        tried_for(START_TIMEOUT, || cannot_listen(libc::EACCES)),
-        tried_for(FILE_TIMEOUT, || malformed("\"a text\"")),
-        tried_for(FILE_TIMEOUT, no_class),
+    for retried_for in [
+        retry_time(START_TIMEOUT, || cannot_listen(libc::EACCES)),
+        retry_time(FILE_TIMEOUT, || malformed("\"a text\"")),
+        retry_time(FILE_TIMEOUT, no_class),
     ] {
-        assert_eq!(tried, Duration::ZERO);
+        assert_eq!(retried_for, Duration::ZERO);
     }
 }
 
 #[test]
-fn a_start_that_waits_ends_when_the_router_is_told_to_shut_down() {
+fn a_startup_that_waits_ends_on_a_shutdown_signal() {
     let process = FakeProcess::new();
-    process.0.pauses_until_shutdown.set(2);
+    process.0.sleeps_until_shutdown.set(2);
     let step = || Err::<(), _>(cannot_listen(libc::EADDRINUSE));
     let result = Retries::new(process).run(START_TIMEOUT, step);
     assert!(matches!(result, Err(StartError::ShutDown)));
