--- a/crates/cache-router/src/lib.rs
+++ b/crates/cache-router/src/lib.rs
@@ -1,4 +1,4 @@
-//! The router in service as a library: `main.rs` is a thin program over it, and tests reach each part.
+//! The router as a library. `main.rs` only calls it; tests use its modules directly.
 
 pub mod cache_protocol;
 pub mod client_command;
--- a/crates/cache-router/src/main.rs
+++ b/crates/cache-router/src/main.rs
@@ -1,4 +1,5 @@
-//! The router in service, between clients on one side and cache servers, the origin and discovery on the other.
+//! The router program. It serves clients, and forwards their requests to cache servers and the origin that discovery
+//! lists.
 
 use std::process::ExitCode;
 
@@ -11,7 +12,7 @@
 fn main() -> ExitCode {
     match startup::run() {
         Ok(()) => ExitCode::SUCCESS,
-        // One line, whatever the level of the log is.
+        // Printed as one line at any log level.
         Err(error) => {
             let line = format!("cache-router: {error}\n");
             logging::standard_error().push(line.into_bytes());
--- a/crates/cache-router/src/message.rs
+++ b/crates/cache-router/src/message.rs
@@ -1,5 +1,6 @@
-//! The messages between the tasks of the router: what client connections, server connections, discovery and signals
-//! report to the event loop, and what it returns. A leaf module: it imports none of the modules that send or receive.
+//! The messages between the tasks of the router: the events that client connections, server connections, discovery and
+//! signals report to the event loop, and the replies that it returns. This module imports none of the modules that send
+//! or receive the messages.
 
 use std::net::SocketAddr;
 
@@ -16,13 +17,13 @@
 pub enum RouterEvent {
     /// A client sent a command.
     ClientRequest(Box<ClientRequest>),
-    /// The connection of a client is over.
+    /// The connection of a client has ended.
     ClientDisconnected(ClientDeparture),
     /// The state of a connection to a server changed.
     ServerConnection(ConnectionId, ServerConnectionEvent),
     /// A call to discovery returned the endpoint list or a change of it.
     EndpointList(DiscoveryCall, EndpointListUpdate),
-    /// The watch sent an empty line: the endpoint list that it has told is still in force.
+    /// The watch sent an empty line: the endpoint list that it reported is still current.
     EndpointListUnchanged(DiscoveryCall),
     /// A call to discovery failed, or the watch broke.
     DiscoveryFailed(DiscoveryCall),
@@ -30,12 +31,12 @@
     WatchStalled(DiscoveryCall),
     /// Discovery has a new address.
     DiscoveryMoved(SocketAddr),
-    /// The platform asks the router to shut down.
+    /// The process received a signal to shut down.
     Terminate,
 }
 
 impl RouterEvent {
-    /// Whether the event can revoke the permission to send a request, and never asks for one to be sent.
+    /// Returns whether the event can revoke the permission to send a request, and never causes one to be sent.
     pub fn revokes_sends(&self) -> bool {
         matches!(
             self,
@@ -47,12 +48,12 @@
 /// Identifies the connection of a client; never reused.
 pub type ClientId = u64;
 
-/// The end of a client's connection with which all that it was owed is void.
+/// The end of a client's connection. All outstanding replies to the client are void.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClientDeparture {
     /// The client.
     pub client: ClientId,
-    /// When its close was read, or it was cut off, on the router's clock.
+    /// When the close of the connection was read or the client was cut off, on the router's clock.
     pub at: Micros,
     /// Who ended the connection.
     pub cause: DepartureCause,
@@ -61,44 +62,44 @@
 /// Who ended the connection of a client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DepartureCause {
-    /// The client, or the network on the way.
+    /// The client closed it, or the network failed.
     Closed,
-    /// The router, as the client took none of its replies.
+    /// The router closed it because the client read none of its replies.
     CutOff,
 }
 
 /// A parsed command of a client.
 #[derive(Debug, Clone, Default)]
 pub struct ClientCommand {
-    /// Whether it is a write.
+    /// Whether the command is a write.
     pub is_write: bool,
-    /// The key, as the client sent it.
+    /// The key as sent by the client.
     pub key: Bytes,
-    /// The client's id of the request, as the client sent it.
+    /// The client's id of the request, as sent by the client.
     pub request_id: Bytes,
-    /// The `name=value` fields, comma separated, as the client sent them.
+    /// The comma-separated `name=value` fields, as sent by the client.
     pub fields: String,
-    /// The value that a write stores.
+    /// The value to store, for a write.
     pub value: Option<Bytes>,
     /// Index of its class in the settings.
     pub class: usize,
-    /// Index of its tenant in the settings; 0 where there are none.
+    /// Index of its tenant in the settings; 0 if there are no tenants.
     pub tenant: usize,
-    /// How long the client waits, in microseconds.
+    /// The remaining time in which the client expects a reply, in microseconds.
     pub remaining_deadline: Micros,
     /// Whether the client marked it as a retry of an earlier request.
     pub is_retry: bool,
     /// Expected work in microseconds, if the client stated it.
     pub cost: Option<Micros>,
-    /// Size of the value in bytes, 0 if the client did not state it.
+    /// Size of the value in bytes; 0 if the client did not state it.
     pub value_size: f32,
 }
 
-/// A key of this many hexadecimal digits is a hash already.
+/// A key with this many hexadecimal digits is already a hash.
 const HEX_KEY_LENGTH: usize = 16;
 
 impl ClientCommand {
-    /// The key as the policy knows it, the same at every router.
+    /// Returns the hashed key that the policy uses. It is the same at every router.
     pub fn hashed_key(&self) -> Key {
         let text = std::str::from_utf8(&self.key).ok();
         let hex = text
@@ -108,18 +109,18 @@
     }
 }
 
-/// A command on its way to the event loop, and where its reply goes.
+/// A command for the event loop, with the channel for its reply.
 #[derive(Debug)]
 pub struct ClientRequest {
     /// The command.
     pub command: ClientCommand,
-    /// When its last byte arrived, on the router's clock.
+    /// When the last byte of the command arrived, on the router's clock.
     pub received_at: Micros,
-    /// The connection that it arrived on.
+    /// The connection on which the command arrived.
     pub client: ClientId,
-    /// Position of its reply in the order of the connection's commands.
+    /// Position of the command, and so of its reply, in the order of the connection's commands.
     pub sequence: u64,
-    /// Where its reply goes. The channel has capacity for every reply that the connection is owed.
+    /// Channel for the reply. It has capacity for every outstanding reply of the connection.
     pub replies: mpsc::Sender<ClientReply>,
 }
 
@@ -138,24 +139,24 @@
 /// Identifies an attempt. The order is by request, then by number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The request that it serves.
+    /// The request to which the attempt belongs.
     pub request: RequestId,
-    /// Its number among the attempts of the request, from 0.
+    /// Number of the attempt among those of the request, from 0.
     pub number: u16,
 }
 
-/// Where and how a server is reached.
+/// How to reach a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerTarget {
     /// The server.
     pub server: ServerId,
     /// Its address.
     pub address: SocketAddr,
-    /// The protocol that it speaks.
+    /// Its protocol.
     pub protocol: ServerProtocol,
 }
 
-/// A server sent something that violates its protocol; its connection can't be used further.
+/// The error for a server that sent bytes that violate its protocol. Its connection cannot be used any more.
 #[derive(Debug, PartialEq, Clone, Copy, thiserror::Error)]
 #[error("the server sent bytes that violate its protocol; its connection has to be closed")]
 pub struct ProtocolError;
@@ -163,7 +164,7 @@
 /// The response of a server to an attempt.
 #[derive(Debug, PartialEq)]
 pub struct ServerResponse {
-    /// How the attempt ended.
+    /// The status of the attempt.
     pub status: AttemptStatus,
     /// The cache lookup that the server reported.
     pub cache_lookup: CacheLookup,
@@ -175,78 +176,79 @@
     pub reusable: bool,
 }
 
-/// What happened on a connection to a server.
+/// An event on a connection to a server.
 #[derive(Debug)]
 pub enum ServerConnectionEvent {
-    /// It is established, and nothing has been written to it.
+    /// The connection is established. Nothing has been written to it.
     Established,
-    /// The response to the request that it carried.
+    /// The server responded to the request.
     Response(ServerResponse),
-    /// Its request was withdrawn, or reached its deadline, before the first byte was written; the connection is free.
+    /// The request was withdrawn, or reached its deadline, before the first byte was written. The connection is free.
     NotWritten,
-    /// The process was suspended between the event loop's decision to write and the first byte, or this machine could
-    /// not write it. No byte was written, and the decision has to be confirmed, since events that arrived meanwhile can
-    /// revoke it.
+    /// No byte of the request has been written, and the event loop must confirm the write. The process was suspended
+    /// between the event loop's decision and the first byte, or this machine could not write it. Events that arrived in
+    /// the meantime can revoke the decision.
     ConfirmWrite,
-    /// It could not be established, or was lost.
+    /// The connection could not be established, or was lost.
     Lost(LostConnection),
 }
 
 /// How a connection to a server was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LostConnection {
-    /// How far the request was written that it carried.
+    /// How much of the current request had been written.
     pub progress: WriteProgress,
-    /// Who is to blame.
+    /// What caused the loss.
     pub cause: LossCause,
 }
 
-/// Who is to blame for a lost connection.
+/// The cause of a lost connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LossCause {
-    /// The server, or the network on the way.
+    /// The server or the network.
     Server,
-    /// This machine, which lacked memory or descriptors for too long.
+    /// This machine: it lacked memory or descriptors for too long.
     ThisMachine,
 }
 
-/// The protocol that a server speaks.
+/// The protocol of a server.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ServerProtocol {
-    /// RESP2, spoken by cache servers.
+    /// RESP2, for cache servers.
     Resp,
-    /// HTTP/1.1, spoken by the origin.
+    /// HTTP/1.1, for the origin.
     Http,
 }
 
-/// Identifies a call to discovery, and what was known when it began, for whoever receives its results later.
+/// Identifies a call to discovery and records the state when it began, so that its results can be judged when they
+/// arrive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DiscoveryCall {
     /// Its number; later calls have higher numbers.
     pub number: u64,
-    /// Which of the addresses that discovery has had it was made to, counted from 0.
+    /// Number of times that discovery's address had changed when the call was made.
     pub address_generation: u64,
-    /// Version of the endpoint list that was in force when it began.
+    /// Version of the endpoint list that was current when the call began.
     pub held_version: u64,
 }
 
-/// The endpoint list, or a change of it. The names of the fields in JSON are discovery's.
+/// The endpoint list, or a change of it. Discovery defines the names of the JSON fields.
 #[derive(Deserialize, Default, Debug)]
 pub struct EndpointListUpdate {
     /// Its version.
     #[serde(default, rename = "index")]
     pub version: u64,
-    /// Whether it is the complete list and not a change.
+    /// Whether this is the complete list, not a change.
     #[serde(default, rename = "snapshot")]
     pub is_complete: bool,
-    /// The endpoints that are listed or changed.
+    /// The listed or changed endpoints.
     pub endpoints: Vec<DiscoveredEndpoint>,
 }
 
-/// An endpoint as discovery describes it. The names of the fields in JSON are discovery's.
+/// An endpoint as described by discovery, which defines the names of the JSON fields.
 #[derive(Deserialize, Debug)]
 pub struct DiscoveredEndpoint {
-    /// The name, which is the same after a restart.
+    /// The name, which stays the same when the server restarts.
     pub name: String,
     /// The address, `ip:port`.
     #[serde(default)]
@@ -257,15 +259,15 @@
     /// Name of its machine kind.
     #[serde(default, rename = "type")]
     pub kind: String,
-    /// Its cell: the group of servers that share which idempotency keys they have seen.
+    /// Its cell: the group of servers that share the idempotency keys that they have seen.
     #[serde(default, rename = "group")]
     pub cell: u16,
-    /// `active`, `left`, or anything else for draining.
+    /// `active`, `left`, or any other text for draining.
     pub status: String,
     /// Its weight.
     #[serde(default = "default_weight")]
     pub weight: f32,
-    /// When its process started, in Unix milliseconds; 0 if not known.
+    /// When its process started, in Unix milliseconds; 0 if unknown.
     #[serde(default, rename = "since_ms")]
     pub started_ms: u64,
 }
--- a/crates/cache-router/src/trace.rs
+++ b/crates/cache-router/src/trace.rs
@@ -1,6 +1,6 @@
-//! The trace: a line for each endpoint list, attempt and final reply, on standard error beside the log, from which an
-//! audit can check the rules of the protocol. Off unless the configuration has `node.trace`; `docs/FLEET.md` describes
-//! the lines and their fields.
+//! The trace: one line for each endpoint list, attempt and final reply, from which an audit can check the rules of the
+//! protocol. It is written to standard error together with the log. It is off unless the configuration has
+//! `node.trace`. `docs/FLEET.md` describes the lines and their fields.
 
 use std::fmt::Arguments;
 
@@ -16,13 +16,13 @@
 }
 
 impl Trace {
-    /// A trace that writes its lines, or one that drops them.
+    /// Creates a writer, which drops all lines unless it is enabled.
     pub fn new(is_enabled: bool) -> Self {
         Trace { is_enabled }
     }
 
-    /// Writes a line for something that happened at a time (Unix time in microseconds). As with the log, neither a
-    /// blocked nor a failed write stops the router. If the trace is off, the fields are not even formatted.
+    /// Writes a line for an event that happened at `at` (Unix time in microseconds). As with the log, neither a blocked
+    /// nor a failed write stops the router. If the trace is off, the fields are not formatted.
     pub fn line(&self, at: Micros, fields: Arguments<'_>) {
         if self.is_enabled {
             let line = format!("trace {at} {fields}\n");
@@ -31,8 +31,8 @@
     }
 }
 
-/// How an attempt ended, as a word of a trace line. Trace files are read by other programs and outlive a renaming in
-/// the code, so the words are given here and not by `Debug`.
+/// Returns the word for the status of an attempt. Trace files are read by other programs and outlast renamed variants
+/// in the code, so the words are defined here and not derived from `Debug`.
 pub fn status_word(status: AttemptStatus) -> &'static str {
     match status {
         AttemptStatus::Served => "Served",
@@ -47,7 +47,7 @@
     }
 }
 
-/// The cache lookup that a server reported, as a word of a trace line.
+/// Returns the word for the cache lookup that a server reported.
 pub fn lookup_word(lookup: CacheLookup) -> &'static str {
     match lookup {
         CacheLookup::Unknown => "None",
@@ -57,7 +57,7 @@
     }
 }
 
-/// The state of an endpoint, as a word of a trace line.
+/// Returns the word for the state of an endpoint.
 pub fn state_word(state: EndpointState) -> &'static str {
     match state {
         EndpointState::Ready => "Ready",
@@ -66,7 +66,7 @@
     }
 }
 
-/// How an endpoint list relates to the one in force, as a word of a trace line.
+/// Returns the word for how an endpoint list relates to the current one.
 pub fn update_word(update: ListUpdate) -> &'static str {
     match update {
         ListUpdate::Full => "Full",
@@ -77,7 +77,7 @@
     }
 }
 
-/// The word for a client's departure while it is owed a reply.
+/// Returns the word for the disconnect of a client that has requests without a reply.
 pub fn departure_word(cause: DepartureCause) -> &'static str {
     match cause {
         DepartureCause::Closed => "departed",
--- a/crates/cache-router/tests/trace.rs
+++ b/crates/cache-router/tests/trace.rs
@@ -1,4 +1,5 @@
-//! Traces that were written before a renaming in the code are read like those written since.
+//! The words of trace lines stay the same when variants are renamed in the code, so that older and newer traces are
+//! read alike.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -10,7 +11,7 @@
 use routing_policy::{AttemptStatus, CacheLookup, EndpointState, ListUpdate};
 
 #[test]
-fn trace_lines_keep_the_words_that_readers_of_traces_know() {
+fn the_words_of_trace_lines_do_not_change() {
     let statuses = [
         AttemptStatus::Served,
         AttemptStatus::Miss,
