--- a/crates/cache-router/src/client_command.rs
+++ b/crates/cache-router/src/client_command.rs
@@ -1,4 +1,4 @@
-//! The commands of clients: what their words and fields mean.
+//! Parses client commands: their names, arguments and request fields.
 
 use bytes::Bytes;
 use routing_policy::Micros;
@@ -7,9 +7,9 @@
 
 use crate::message::ClientCommand;
 
-/// The longest key, request id and list of fields, in bytes.
-const MAX_WORD_BYTES: usize = 512;
-/// The longest time that a client is taken to wait, in microseconds, whatever it or the settings say.
+/// The maximum length of a key, a request id and a list of fields, in bytes.
+const MAX_ARGUMENT_BYTES: usize = 512;
+/// The maximum deadline of a request, in microseconds. Larger values of clients or settings are reduced to it.
 const MAX_DEADLINE: Micros = 60_000_000;
 
 const MICROS_PER_MILLISECOND: f64 = 1e3;
@@ -17,69 +17,69 @@
 /// A command that a client can send.
 #[derive(Debug)]
 pub enum Command {
-    /// `PING`: is the router ready?
+    /// `PING`: asks whether the router is ready.
     Ping,
-    /// `OBJ.GET` or `OBJ.SET`: a request for the policy.
+    /// `OBJ.GET` or `OBJ.SET`: a request for the routing policy.
     Request(ClientCommand),
 }
 
-/// A command that the router can't serve: the policy can't be told of a request that names none of its classes. The
-/// texts are part of the protocol, since clients are sent them.
+/// Why the router can't serve a command. A request without a known class, for example, can't be given to the routing
+/// policy. The texts are part of the protocol, since they are sent to clients.
 #[derive(Debug, PartialEq, Eq, Clone, Copy, Error)]
 pub enum CommandError {
-    /// Its first word is no known command.
+    /// The command name is unknown.
     #[error("unknown command")]
     UnknownCommand,
-    /// It has too few or too many words.
+    /// The command has too few or too many arguments.
     #[error("wrong number of arguments")]
     WrongArgumentCount,
-    /// A word is too long, missing, or has characters that would break the framing of a server's protocol.
+    /// An argument is too long, empty, or has characters that would break the framing of a server's protocol.
     #[error("invalid key, id or facts")]
-    InvalidWord,
+    InvalidArgument,
     /// A field is not `name=value`.
     #[error("invalid facts")]
     InvalidField,
-    /// It names a class that the settings don't have.
+    /// The class is not in the settings.
     #[error("unknown class")]
     UnknownClass,
-    /// It names a tenant that the settings don't have.
+    /// The tenant is not in the settings.
     #[error("unknown tenant")]
     UnknownTenant,
-    /// The time that the client waits is no number.
+    /// The deadline is not a number.
     #[error("invalid d")]
     InvalidDeadline,
-    /// It names no class.
+    /// The request has no class field.
     #[error("no class")]
     NoClass,
 }
 
-/// Parses the words of a command.
+/// Parses a command from its name and arguments.
 ///
 /// # Errors
 ///
-/// If it is not a command that the deployment can serve.
-pub fn parse(words: &[Bytes], deployment: &Deployment) -> Result<Command, CommandError> {
-    let name = words
+/// If the deployment can't serve the command.
+pub fn parse(arguments: &[Bytes], deployment: &Deployment) -> Result<Command, CommandError> {
+    let name = arguments
         .first()
         .map(|name| name.to_ascii_uppercase())
         .unwrap_or_default();
     match name.as_slice() {
         b"PING" => Ok(Command::Ping),
-        b"OBJ.GET" => parse_get(words, deployment).map(Command::Request),
-        b"OBJ.SET" => parse_set(words, deployment).map(Command::Request),
+        b"OBJ.GET" => parse_get(arguments, deployment).map(Command::Request),
+        b"OBJ.SET" => parse_set(arguments, deployment).map(Command::Request),
         _ => Err(CommandError::UnknownCommand),
     }
 }
 
-fn parse_get(words: &[Bytes], deployment: &Deployment) -> Result<ClientCommand, CommandError> {
-    let [_, key, request_id, fields] = words else {
+fn parse_get(arguments: &[Bytes], deployment: &Deployment) -> Result<ClientCommand, CommandError> {
+    let [_, key, request_id, fields] = arguments else {
         return Err(CommandError::WrongArgumentCount);
     };
     parse_request(key, request_id, fields, deployment)
 }
 
-fn parse_set(words: &[Bytes], deployment: &Deployment) -> Result<ClientCommand, CommandError> {
-    let [_, key, request_id, fields, value] = words else {
+fn parse_set(arguments: &[Bytes], deployment: &Deployment) -> Result<ClientCommand, CommandError> {
+    let [_, key, request_id, fields, value] = arguments else {
         return Err(CommandError::WrongArgumentCount);
     };
     let command = parse_request(key, request_id, fields, deployment)?;
@@ -90,17 +90,17 @@
     })
 }
 
-/// Parses what a read and a write have in common.
+/// Parses the arguments that reads and writes have in common.
 fn parse_request(
     key: &Bytes,
     request_id: &Bytes,
     fields: &Bytes,
     deployment: &Deployment,
 ) -> Result<ClientCommand, CommandError> {
-    // What is forwarded to a server must not break its framing there.
-    let words_are_valid = [key, request_id, fields].into_iter().all(is_plain);
-    if !words_are_valid || key.is_empty() || request_id.is_empty() {
-        return Err(CommandError::InvalidWord);
+    // The arguments are forwarded to servers and must not break the framing of their protocols.
+    let arguments_are_valid = [key, request_id, fields].into_iter().all(is_valid_argument);
+    if !arguments_are_valid || key.is_empty() || request_id.is_empty() {
+        return Err(CommandError::InvalidArgument);
     }
     let fields = String::from_utf8_lossy(fields).into_owned();
     let parsed = RequestFields::parse(&fields, deployment)?;
@@ -121,18 +121,18 @@
     })
 }
 
-fn is_plain(word: &Bytes) -> bool {
-    word.len() <= MAX_WORD_BYTES && word.iter().all(u8::is_ascii_graphic)
+fn is_valid_argument(argument: &Bytes) -> bool {
+    argument.len() <= MAX_ARGUMENT_BYTES && argument.iter().all(u8::is_ascii_graphic)
 }
 
-/// The fields of a request, `name=value,...`, that the router knows.
+/// The fields of a request, `name=value,...`, that the router evaluates.
 #[derive(Default)]
 struct RequestFields {
     /// Index of the class in the settings (`c`).
     class: Option<usize>,
     /// Index of the tenant in the settings (`t`).
     tenant: Option<usize>,
-    /// How long the client waits, in microseconds (`d`, in milliseconds).
+    /// How long the client waits, in microseconds (`d`, in milliseconds on the wire).
     deadline: Option<Micros>,
     /// Whether it is a retry (`r`).
     is_retry: bool,
@@ -160,11 +160,11 @@
     ) -> Result<(), CommandError> {
         match name {
             "c" => {
-                let class = position(&deployment.classes, value);
+                let class = index_of(&deployment.classes, value);
                 self.class = Some(class.ok_or(CommandError::UnknownClass)?);
             }
             "t" if !deployment.tenants.is_empty() => {
-                let tenant = position(&deployment.tenants, value);
+                let tenant = index_of(&deployment.tenants, value);
                 self.tenant = Some(tenant.ok_or(CommandError::UnknownTenant)?);
             }
             "d" => {
@@ -174,13 +174,13 @@
             "r" => self.is_retry = value == "1",
             "h" => self.cost = value.parse().ok(),
             "size" => self.value_size = value.parse().unwrap_or(0.0),
-            // Fields of later versions are forwarded and otherwise ignored.
+            // Unknown fields, for example of later versions, are forwarded and otherwise ignored.
             _ => {}
         }
         Ok(())
     }
 }
 
-fn position(names: &[String], name: &str) -> Option<usize> {
-    names.iter().position(|known| known == name)
+fn index_of(names: &[String], name: &str) -> Option<usize> {
+    names.iter().position(|candidate| candidate == name)
 }
--- a/crates/cache-router/src/write_progress.rs
+++ b/crates/cache-router/src/write_progress.rs
@@ -1,14 +1,15 @@
-//! How far the write of a request to its connection has come: shared between the event loop, which may withdraw the
-//! request, and the connection's task, which writes it.
+//! The progress of writing a request to its connection. It is shared by the event loop, which may withdraw the request,
+//! and the connection's task, which writes it.
 
 use std::sync::atomic::{AtomicU8, Ordering};
 
-/// How far the write of a request has come. Only the connection's task changes it, and only the event loop withdraws.
+/// The progress of writing a request. Only the event loop sets [`WriteProgress::Withdrawn`]; the connection's task
+/// makes all other changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteProgress {
     /// No byte has been written.
     NotStarted,
-    /// The last byte has not been written.
+    /// The write has begun, and the last byte has not been written.
     Writing,
     /// All bytes have been written.
     Written,
@@ -24,12 +25,12 @@
         WriteProgress::Withdrawn,
     ];
 
-    /// Whether the server may have run a request that was written so far.
+    /// Whether the server may have run the request.
     ///
-    /// A server runs a request once it has the last byte: an incomplete RESP command has a word or a part of one to
-    /// come, and an incomplete HTTP request a part of its head or of the body that the head announces. A write that
-    /// fails has taken none of the bytes that it was given, and the last write is given the last byte. So whatever was
-    /// written before a write failed, the request did not run; once all is written, it may have.
+    /// A server runs a request only once it has the last byte: an incomplete RESP command lacks an argument or a part
+    /// of one, and an incomplete HTTP request lacks a part of its head or of the body that the head announces. A failed
+    /// write transfers none of its bytes, and the last byte is part of the last write. So if any write has failed, the
+    /// request did not run; once all bytes are written, it may have.
     pub fn may_have_run(self) -> bool {
         match self {
             WriteProgress::Written => true,
@@ -38,23 +39,24 @@
     }
 }
 
-/// A [`WriteProgress`] that two tasks share.
+/// A [`WriteProgress`] that is shared by two tasks.
 pub struct SharedWriteProgress(AtomicU8);
 
 impl SharedWriteProgress {
-    /// The progress of a request that has just been handed to its connection.
+    /// Creates the progress of a request that has just been given to its connection.
     pub fn new() -> Self {
         SharedWriteProgress(AtomicU8::new(WriteProgress::NotStarted as u8))
     }
 
-    /// The present progress.
+    /// Returns the current progress.
     pub fn get(&self) -> WriteProgress {
         let value = usize::from(self.0.load(Ordering::Acquire));
-        // The remainder only spares a panic: nothing but the four values is ever stored.
+        // Only the four valid values are ever stored; the remainder operation only rules out a panic.
         WriteProgress::ALL[value % WriteProgress::ALL.len()]
     }
 
-    /// Goes from one progress to another; `false` if it is no longer `from`, since the other task was first.
+    /// Changes the progress from `from` to `to`. Returns `false` if it is no longer `from`, since the other task has
+    /// changed it first.
     pub fn advance(&self, from: WriteProgress, to: WriteProgress) -> bool {
         self.0
             .compare_exchange(from as u8, to as u8, Ordering::AcqRel, Ordering::Acquire)
--- a/crates/cache-router/tests/client_command.rs
+++ b/crates/cache-router/tests/client_command.rs
@@ -1,4 +1,4 @@
-//! What the words and fields of a client's command mean, and what a client is sent for an invalid one.
+//! Parsing of client commands, and the error texts for invalid ones.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -16,23 +16,23 @@
     settings::read(text).unwrap()
 }
 
-fn parse_words(words: &[&str]) -> Result<Command, CommandError> {
-    let words: Vec<_> = words
+fn parse_arguments(arguments: &[&str]) -> Result<Command, CommandError> {
+    let arguments: Vec<_> = arguments
         .iter()
-        .map(|word| Bytes::copy_from_slice(word.as_bytes()))
+        .map(|argument| Bytes::copy_from_slice(argument.as_bytes()))
         .collect();
-    parse(&words, &deployment())
+    parse(&arguments, &deployment())
 }
 
-fn parse_request(words: &[&str]) -> ClientCommand {
-    match parse_words(words) {
+fn parse_request(arguments: &[&str]) -> ClientCommand {
+    match parse_arguments(arguments) {
         Ok(Command::Request(command)) => command,
         other => panic!("{other:?}"),
     }
 }
 
 struct InvalidCommand {
-    words: &'static [&'static str],
+    arguments: &'static [&'static str],
     reply: &'static str,
 }
 
@@ -41,57 +41,57 @@
     let long_key: &'static str = "k".repeat(513).leak();
     let cases = [
         InvalidCommand {
-            words: &[],
+            arguments: &[],
             reply: "unknown command",
         },
         InvalidCommand {
-            words: &["GET", "key"],
+            arguments: &["GET", "key"],
             reply: "unknown command",
         },
         InvalidCommand {
-            words: &["OBJ.GET", "key", "id"],
+            arguments: &["OBJ.GET", "key", "id"],
             reply: "wrong number of arguments",
         },
         InvalidCommand {
-            words: &["OBJ.SET", "key", "id", "c=read"],
+            arguments: &["OBJ.SET", "key", "id", "c=read"],
             reply: "wrong number of arguments",
         },
         InvalidCommand {
-            words: &["OBJ.GET", "a key", "id", "c=read"],
+            arguments: &["OBJ.GET", "a key", "id", "c=read"],
             reply: "invalid key, id or facts",
         },
         InvalidCommand {
-            words: &["OBJ.GET", "key", "", "c=read"],
+            arguments: &["OBJ.GET", "key", "", "c=read"],
             reply: "invalid key, id or facts",
         },
         InvalidCommand {
-            words: Vec::leak(vec!["OBJ.GET", long_key, "id", "c=read"]),
+            arguments: Vec::leak(vec!["OBJ.GET", long_key, "id", "c=read"]),
             reply: "invalid key, id or facts",
         },
         InvalidCommand {
-            words: &["OBJ.GET", "key", "id", "c=read,d"],
+            arguments: &["OBJ.GET", "key", "id", "c=read,d"],
             reply: "invalid facts",
         },
         InvalidCommand {
-            words: &["OBJ.GET", "key", "id", "c=other"],
+            arguments: &["OBJ.GET", "key", "id", "c=other"],
             reply: "unknown class",
         },
         InvalidCommand {
-            words: &["OBJ.GET", "key", "id", "c=read,t=other"],
+            arguments: &["OBJ.GET", "key", "id", "c=read,t=other"],
             reply: "unknown tenant",
         },
         InvalidCommand {
-            words: &["OBJ.GET", "key", "id", "c=read,d=soon"],
+            arguments: &["OBJ.GET", "key", "id", "c=read,d=soon"],
             reply: "invalid d",
         },
         InvalidCommand {
-            words: &["OBJ.GET", "key", "id", "t=acme"],
+            arguments: &["OBJ.GET", "key", "id", "t=acme"],
             reply: "no class",
         },
     ];
     for case in cases {
-        let error = parse_words(case.words).expect_err("an error");
-        assert_eq!(error.to_string(), case.reply, "{:?}", case.words);
+        let error = parse_arguments(case.arguments).expect_err("an error");
+        assert_eq!(error.to_string(), case.reply, "{:?}", case.arguments);
     }
 }
 
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_request_without_a_deadline_has_that_of_its_class_and_none_has_more_than_a_minute() {
+fn the_class_deadline_is_the_default_and_all_deadlines_are_capped_at_one_minute() {
     let command = parse_request(&["OBJ.GET", "key", "id", "c=read"]);
     assert_eq!(command.remaining_deadline, 250_000);
     assert!(!command.is_write && !command.is_retry && command.tenant == 0);
