--- a/crates/cache-router/src/client_connection.rs
+++ b/crates/cache-router/src/client_connection.rs
@@ -1,8 +1,9 @@
-//! The task of one client connection: it owns the socket and its buffers, takes commands off the input, hands requests
-//! to the event loop and writes the replies in the order of the commands.
+//! The task of one client connection. It owns the socket and its buffers, parses commands from the input, sends
+//! requests to the event loop and writes the replies in the order of the commands.
 //!
-//! The [listener](crate::listener) spawns the task. It ends by itself when the client closes its connection, when the
-//! router shuts down, or when an idle connection has to give up its place.
+//! The [listener](crate::listener) spawns the task. The task ends when the client closes its connection, when the
+//! router shuts down, or when an idle connection is closed to free its slot for a new client. It also ends if the
+//! client sends invalid input, leaves a command incomplete for too long or stops reading its replies.
 
 pub mod arrival_times;
 mod close;
@@ -27,8 +28,8 @@
 use crate::lifecycle::LifecyclePhase;
 use crate::message::{ClientId, ClientReply, DepartureCause};
 use crate::socket::SocketStream;
-use close::ConnectionEnd;
-use input::{ClientInput, Intake};
+use close::CloseReason;
+use input::{ClientInput, InputMode};
 use local_failures::Disconnected;
 use output::ClientOutput;
 use reply_queue::ReplyQueue;
@@ -36,34 +37,36 @@
 pub use close::{LINGER_AFTER_ERROR, LINGER_WHEN_IDLE};
 pub use output::OUTPUT_STALL_TIMEOUT;
 
-/// Requests of one connection that are served at the same time; more wait until one of them is answered.
+/// The most commands of one connection that may be waiting for a reply. Later ones wait until one of them is answered.
 pub const MAX_PIPELINED: usize = 64;
-/// A new client that has sent no complete command for this long is cut off, and so is one that has left a command
-/// incomplete, however slowly its bytes come: it holds one of few slots. A silent peer has to be closed within 3 s; the
-/// time that it may have waited to be accepted is left off.
+/// A client is disconnected if it has not completed its first command within this time, or has left a later command
+/// incomplete for this long, even if it keeps sending bytes: it occupies one of a limited number of slots. A silent
+/// peer has to be closed within 3 s, which includes the time that the connection may have waited to be accepted.
 pub const COMMAND_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A connection that is about to close reads commands for this long, to reject them. It has to leave most of the time
-/// for the last replies of a shutdown.
-const REJECT_TIME: Duration = Duration::from_millis(40);
-/// A router that shuts down closes a connection between requests, a new one only after this: its first request is on
-/// its way, and closed without a reply it would count as rejected.
+/// A connection that is about to close still reads commands for this long and rejects them. Most of the last phase of a
+/// shutdown has to remain for writing the last replies.
+const REJECTION_PERIOD: Duration = Duration::from_millis(40);
+/// During a shutdown, connections are closed as soon as they are between requests, but a new connection only after this
+/// time: its first request may be in transit, and closing without a reply would count as a rejection.
 pub const FIRST_COMMAND_GRACE: Duration = Duration::from_millis(250);
 
-/// Serves a client until its connection ends. `from_reserve` tells that its slot is one of the reserve, for connections
-/// whose first request is rejected; `_slot` is held until the connection is closed.
+/// Serves a client until its connection ends.
+///
+/// `uses_reserved_slot` says that the connection has one of the slots that are reserved for rejecting clients: its
+/// first request is rejected if only reserved slots are left by then. `_slot` is held until the connection is closed.
 pub async fn serve(
     stream: TcpStream,
     context: Arc<ClientContext>,
     client: ClientId,
-    from_reserve: bool,
+    uses_reserved_slot: bool,
     _slot: OwnedSemaphorePermit,
 ) {
     let stream = SocketStream::new(stream);
-    let mut connection = ClientConnection::new(stream, context, client, from_reserve);
+    let mut connection = ClientConnection::new(stream, context, client, uses_reserved_slot);
     match connection.run().await {
-        ConnectionEnd::ByClient => connection.end_disconnected(DepartureCause::Closed).await,
-        ConnectionEnd::CutOff => connection.end_disconnected(DepartureCause::CutOff).await,
-        ConnectionEnd::ByRouter => connection.linger().await,
+        CloseReason::ClosedByClient => connection.handle_disconnect(DepartureCause::Closed).await,
+        CloseReason::OutputStalled => connection.handle_disconnect(DepartureCause::CutOff).await,
+        CloseReason::ClosedByRouter => connection.linger().await,
     }
 }
 
@@ -77,16 +80,15 @@
     input: ClientInput,
     replies: ReplyQueue,
     output: ClientOutput,
-    /// When it was opened.
     opened_at: Instant,
-    /// Until when a router that shuts down waits for the first command.
+    /// How long the connection stays open for its first command if the router shuts down.
     first_command_until: Instant,
-    /// Until when commands are read to be rejected, once the connection is about to close.
-    rejects_until: Option<Instant>,
+    /// Set once the connection is about to close: commands are read and rejected until then.
+    reject_until: Option<Instant>,
     /// Held while the connection is idle.
     idle_guard: Option<IdleGuard>,
-    /// Its slot is one of the reserve, and no request of it was accepted yet.
-    from_reserve: bool,
+    /// Whether the connection has a reserved slot and no request of it has been accepted yet.
+    uses_reserved_slot: bool,
 }
 
 impl ClientConnection {
@@ -94,9 +96,9 @@
         stream: SocketStream,
         context: Arc<ClientContext>,
         client: ClientId,
-        from_reserve: bool,
+        uses_reserved_slot: bool,
     ) -> Self {
-        // Room for every reply that can be owed, so that the event loop never waits for a client.
+        // Capacity for every reply that can be pending, so that the event loop never waits for a client.
         let (reply_sender, reply_receiver) = mpsc::channel(MAX_PIPELINED + 1);
         let now = Instant::now();
         ClientConnection {
@@ -110,33 +112,33 @@
             output: ClientOutput::default(),
             opened_at: now,
             first_command_until: now + FIRST_COMMAND_GRACE,
-            rejects_until: None,
+            reject_until: None,
             idle_guard: None,
-            from_reserve,
+            uses_reserved_slot,
         }
     }
 
-    async fn run(&mut self) -> ConnectionEnd {
+    async fn run(&mut self) -> CloseReason {
         let end = self.serve_commands().await;
-        // Not idle any more: a close request that it did not follow goes to another connection.
+        // The connection is no longer idle. Dropping the guard passes an unfulfilled close request to another one.
         self.idle_guard = None;
         end
     }
 
-    async fn serve_commands(&mut self) -> ConnectionEnd {
+    async fn serve_commands(&mut self) -> CloseReason {
         let mut lifecycle = self.context.lifecycle.clone();
         loop {
-            // A client whose input never ends must not keep the others waiting.
+            // Yields regularly, so that a client that never stops sending does not starve other tasks.
             tokio::task::coop::consume_budget().await;
             let phase = *lifecycle.borrow_and_update();
             if phase == LifecyclePhase::Closing {
-                self.stop_serving();
+                self.start_rejecting();
             }
             self.take_commands().await;
             self.reject_excess_commands();
             self.output.take_ready(&mut self.replies);
-            if self.is_finished() {
-                match self.finish().await {
+            if self.is_ready_to_close() {
+                match self.close_when_answered().await {
                     ControlFlow::Continue(()) => continue,
                     ControlFlow::Break(end) => return end,
                 }
@@ -144,12 +146,12 @@
             match self.output.write(|bytes| self.stream.try_write(bytes)) {
                 Ok(true) => continue,
                 Ok(false) => {}
-                Err(Disconnected) => return ConnectionEnd::ByClient,
+                Err(Disconnected) => return CloseReason::ClosedByClient,
             }
             self.input.update_interval();
             let is_reading = self.can_read();
-            if !is_reading && self.is_closed_behind_input().await {
-                return ConnectionEnd::ByClient;
+            if !is_reading && self.is_closed_by_client().await {
+                return CloseReason::ClosedByClient;
             }
             self.update_idle_guard();
             let wake_up = self.wait(&mut lifecycle, phase, is_reading).await;
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Reads what has arrived.
+    /// Reads the input that is available, unless reading is paused.
     fn read(&mut self) -> Result<(), Disconnected> {
         if !self.can_read() {
             return Ok(());
@@ -170,56 +172,57 @@
             .read(try_read, self.context.clock, takes_commands)
     }
 
-    /// Whether the client is owed a reply or a part of one.
-    fn owes_reply(&self) -> bool {
+    /// Whether a reply is pending or not completely written.
+    fn has_unsent_replies(&self) -> bool {
         !self.replies.is_empty() || !self.output.is_empty()
     }
 
     /// Whether the connection is between two requests, or before the first.
     fn is_between_requests(&self) -> bool {
-        !self.owes_reply() && self.input.is_empty()
+        !self.has_unsent_replies() && self.input.is_empty()
     }
 
-    /// Whether the connection is about to close and all is answered that has been read.
-    fn is_finished(&self) -> bool {
-        !self.owes_reply() && self.input.intake() != Intake::Serve
+    /// Whether the connection is about to close and everything read from it has been answered.
+    fn is_ready_to_close(&self) -> bool {
+        !self.has_unsent_replies() && self.input.mode() != InputMode::Serve
     }
 
-    /// Has the connection close once all is answered that has been read; what comes for a moment yet is rejected.
-    fn stop_serving(&mut self) {
+    /// Makes the connection close once everything read from it has been answered. Commands that arrive within
+    /// [`REJECTION_PERIOD`] are rejected.
+    fn start_rejecting(&mut self) {
         self.input.reject();
-        self.rejects_until
-            .get_or_insert_with(|| Instant::now() + REJECT_TIME);
+        self.reject_until
+            .get_or_insert_with(|| Instant::now() + REJECTION_PERIOD);
     }
 
-    /// Whether input is read.
+    /// Whether input may be read now.
     fn can_read(&self) -> bool {
-        let is_too_late = self.input.intake() == Intake::Reject
+        let is_rejection_over = self.input.mode() == InputMode::Reject
             && self
-                .rejects_until
+                .reject_until
                 .is_some_and(|until| Instant::now() >= until);
-        !is_too_late && self.input.can_read(self.can_take_commands())
+        !is_rejection_over && self.input.can_read(self.can_take_commands())
     }
 
-    /// Whether commands are taken off the input.
+    /// Whether commands may be taken from the input now.
     fn can_take_commands(&self) -> bool {
-        self.input.intake() != Intake::Discard
+        self.input.mode() != InputMode::Discard
             && self.replies.len() < MAX_PIPELINED
             && !self.output.is_full()
     }
 
-    /// When the client has to have completed a command; `None` while it owes none. What it is owed itself makes no
-    /// difference.
+    /// When the client must have completed its first or its incomplete command; `None` if there is neither. Replies
+    /// that are pending do not extend the deadline.
     fn command_deadline(&self) -> Option<Instant> {
         let awaits_first_command = self.replies.is_unused() && self.replies.is_empty();
-        let owes_since = match awaits_first_command {
+        let waiting_since = match awaits_first_command {
             true => Some(self.opened_at),
             false => self.input.incomplete_since(),
         };
-        owes_since.map(|since| since + COMMAND_TIMEOUT)
+        waiting_since.map(|since| since + COMMAND_TIMEOUT)
     }
 
-    /// Registers the connection as idle, or no longer.
+    /// Registers the connection as idle, or removes its registration.
     fn update_idle_guard(&mut self) {
         let is_idle = self.is_between_requests() && !self.replies.is_unused();
         if !is_idle {
--- a/crates/cache-router/src/client_connection/arrival_times.rs
+++ b/crates/cache-router/src/client_connection/arrival_times.rs
@@ -1,47 +1,49 @@
-//! When the bytes arrived that were read ahead of the commands in them.
+//! Arrival times of input that is read before the commands in it are processed.
 
 use std::collections::VecDeque;
 
 use routing_policy::Micros;
 
-/// The most arrivals that are kept apart; what comes beyond counts as arrived with the last of them, which is too early.
-/// More than there are small requests in half of what is read ahead.
+/// The most arrivals that are recorded separately. Later bytes count as part of the last one, which dates them too
+/// early. The limit exceeds the number of small requests in half of the read-ahead buffer.
 const MAX_ARRIVALS: usize = 1_024;
-/// Bytes that arrive within this of others, in microseconds, count as arrived with them: deadlines are in milliseconds.
+/// Bytes that arrive within this many microseconds after others are merged with them: deadlines are in milliseconds.
 const MERGE_WINDOW: Micros = 1_000;
 
-/// Bytes that arrived together.
+/// A number of bytes that arrived at the same time.
 struct Arrival {
     bytes: usize,
-    at: Micros,
+    arrived_at: Micros,
 }
 
-/// When the bytes of an input buffer arrived, in their order.
+/// The arrival times of the bytes in an input buffer, in the order of the bytes.
 #[derive(Default)]
 pub struct ArrivalTimes {
     arrivals: VecDeque<Arrival>,
 }
 
 impl ArrivalTimes {
-    /// Records bytes that are appended to the buffer.
-    pub fn add(&mut self, bytes: usize, at: Micros) {
+    /// Records bytes that were appended to the buffer.
+    pub fn add(&mut self, bytes: usize, arrived_at: Micros) {
         let is_full = self.arrivals.len() >= MAX_ARRIVALS;
         match self.arrivals.back_mut() {
-            Some(last) if is_full || at < last.at + MERGE_WINDOW => last.bytes += bytes,
-            _ => self.arrivals.push_back(Arrival { bytes, at }),
+            Some(last) if is_full || arrived_at < last.arrived_at + MERGE_WINDOW => {
+                last.bytes += bytes
+            }
+            _ => self.arrivals.push_back(Arrival { bytes, arrived_at }),
         }
     }
 
-    /// Removes bytes that are taken off the front of the buffer. Returns when the last of them arrived.
+    /// Removes bytes that were taken from the front of the buffer. Returns when the last of them arrived.
     pub fn take(&mut self, mut bytes: usize) -> Option<Micros> {
         let mut last_arrival = None;
         while bytes > 0
             && let Some(arrival) = self.arrivals.front_mut()
         {
-            let part = bytes.min(arrival.bytes);
-            arrival.bytes -= part;
-            bytes -= part;
-            last_arrival = Some(arrival.at);
+            let taken = bytes.min(arrival.bytes);
+            arrival.bytes -= taken;
+            bytes -= taken;
+            last_arrival = Some(arrival.arrived_at);
             if arrival.bytes == 0 {
                 self.arrivals.pop_front();
             }
--- a/crates/cache-router/src/client_connection/close.rs
+++ b/crates/cache-router/src/client_connection/close.rs
@@ -1,4 +1,4 @@
-//! How the connection of a client ends: by the client, or by the router in order.
+//! The end of a client connection: closed by the client, or closed gracefully by the router.
 
 use std::ops::ControlFlow;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 use super::ClientConnection;
 use super::commands::INCOMPLETE_REPLY;
-use super::input::Intake;
+use super::input::InputMode;
 use super::local_failures::Disconnected;
 use crate::event_loop::in_flight::{BUSY_REPLY, FAILED_REPLY};
 use crate::message::{ClientDeparture, DepartureCause, RouterEvent};
@@ -17,32 +17,32 @@
 use crate::socket::errors::{classify, is_not_ready};
 use crate::socket::stream::LOCAL_RETRY_PAUSE;
 
-/// How long input is read and discarded after the router has closed its side: closing a socket with unread input resets
-/// the connection, which can take the last reply away from the client. After an error the client may be sending still.
+/// How long input is read and discarded after the router has shut down its sending side. Closing a socket with unread
+/// input resets the connection, and the client can lose the last reply. After an error the client may still be sending.
 pub const LINGER_AFTER_ERROR: Duration = Duration::from_millis(500);
-/// The same for a connection that was idle: what crossed the close has arrived soon, and a new client, or the router's
-/// end, waits for the slot.
+/// As [`LINGER_AFTER_ERROR`], for a connection that was idle. Input that was in transit at the close arrives soon, and
+/// a new client or the shutdown of the router waits for the slot.
 pub const LINGER_WHEN_IDLE: Duration = Duration::from_millis(100);
-/// The most reads while lingering, against a client that never stops sending.
+/// The most reads while lingering, in case a client never stops sending.
 const MAX_LINGER_READS: usize = 256;
-/// Bytes of each of these reads at most.
+/// The most bytes of each of these reads.
 const LINGER_READ_BYTES: usize = 4096;
 
-/// Why a connection ends.
-pub(super) enum ConnectionEnd {
-    /// The client has closed it.
-    ByClient,
-    /// The client takes no replies.
-    CutOff,
-    /// The router closes it: between requests, or after input that is not a command.
-    ByRouter,
+/// Why a connection is closed.
+pub(super) enum CloseReason {
+    /// The client has closed it, or it was lost.
+    ClosedByClient,
+    /// The client has not read its replies for too long.
+    OutputStalled,
+    /// The router closes it: between requests, after input that is not a command, or after an incomplete command.
+    ClosedByRouter,
 }
 
 impl ClientConnection {
-    /// Closes the connection, unless a command has arrived.
-    pub(super) async fn close_if_idle(&mut self) -> ControlFlow<ConnectionEnd> {
-        if self.look_for_input().await.is_err() {
-            return ControlFlow::Break(ConnectionEnd::ByClient);
+    /// Closes the connection, unless input has arrived.
+    pub(super) async fn close_if_idle(&mut self) -> ControlFlow<CloseReason> {
+        if self.read_available().await.is_err() {
+            return ControlFlow::Break(CloseReason::ClosedByClient);
         }
         if !self.input.is_empty() {
             return ControlFlow::Continue(());
@@ -50,49 +50,49 @@
         if let Some(idle_guard) = self.idle_guard.take() {
             idle_guard.close();
         }
-        ControlFlow::Break(ConnectionEnd::ByRouter)
+        ControlFlow::Break(CloseReason::ClosedByRouter)
     }
 
-    /// Closes the connection of a client that owes a complete command, unless it has arrived. An incomplete one is
-    /// answered, behind all that the client is owed; a client that has sent nothing has nothing to be answered.
-    pub(super) async fn handle_overdue_command(&mut self) -> ControlFlow<ConnectionEnd> {
-        if self.look_for_input().await.is_err() {
-            return ControlFlow::Break(ConnectionEnd::ByClient);
+    /// Closes the connection if its command deadline has passed and the command is still not complete. An incomplete
+    /// command is answered with an error after all pending replies. A client that has sent nothing gets no reply.
+    pub(super) async fn handle_overdue_command(&mut self) -> ControlFlow<CloseReason> {
+        if self.read_available().await.is_err() {
+            return ControlFlow::Break(CloseReason::ClosedByClient);
         }
         self.take_commands().await;
         let is_overdue = self
             .command_deadline()
             .is_some_and(|deadline| deadline <= Instant::now());
         if is_overdue && !self.reject_incomplete_command(INCOMPLETE_REPLY) {
-            return ControlFlow::Break(ConnectionEnd::ByRouter);
+            return ControlFlow::Break(CloseReason::ClosedByRouter);
         }
         ControlFlow::Continue(())
     }
 
-    /// Ends a connection that is about to close and has answered all, unless more commands have arrived or one is
-    /// incomplete: each gets its answer first.
-    pub(super) async fn finish(&mut self) -> ControlFlow<ConnectionEnd> {
-        if self.input.intake() == Intake::Reject {
-            if self.look_for_input().await.is_err() {
-                return ControlFlow::Break(ConnectionEnd::ByClient);
+    /// Ends a connection that is about to close and has no reply pending. Commands that have arrived meanwhile, and an
+    /// incomplete one, are rejected first.
+    pub(super) async fn close_when_answered(&mut self) -> ControlFlow<CloseReason> {
+        if self.input.mode() == InputMode::Reject {
+            if self.read_available().await.is_err() {
+                return ControlFlow::Break(CloseReason::ClosedByClient);
             }
             self.take_commands().await;
             self.reject_incomplete_command(BUSY_REPLY);
         }
-        if self.owes_reply() {
+        if self.has_unsent_replies() {
             return ControlFlow::Continue(());
         }
-        ControlFlow::Break(ConnectionEnd::ByRouter)
+        ControlFlow::Break(CloseReason::ClosedByRouter)
     }
 
-    /// Reads what the kernel has received by now, of which the runtime may not know yet.
-    async fn look_for_input(&mut self) -> Result<(), Disconnected> {
+    /// Reads what the kernel has received so far. Yields first, since the runtime may not know of it yet.
+    async fn read_available(&mut self) -> Result<(), Disconnected> {
         tokio::task::yield_now().await;
         self.read()
     }
 
-    /// Whether a client of which nothing is read has closed its connection behind its unread input.
-    pub(super) async fn is_closed_behind_input(&self) -> bool {
+    /// Whether the client has closed its side, also if unread input precedes the close.
+    pub(super) async fn is_closed_by_client(&self) -> bool {
         tokio::select! {
             biased;
             ready = self.stream.ready(Interest::READABLE) => {
@@ -102,16 +102,17 @@
         }
     }
 
-    /// Ends the connection of a client that has closed its side, or all of it: no attempt is sent for it any more. If it
-    /// still waits, it has its final answers.
-    pub(super) async fn end_disconnected(&mut self, cause: DepartureCause) {
+    /// Ends the connection of a client that has closed it completely or only its sending side. No further attempt is
+    /// sent for it. A client that still reads gets its final replies.
+    pub(super) async fn handle_disconnect(&mut self, cause: DepartureCause) {
         self.report_disconnect(cause).await;
-        self.answer_at_disconnect().await;
+        self.send_final_replies().await;
     }
 
-    /// Tells the event loop that the client is gone.
+    /// Reports the disconnect to the event loop.
     async fn report_disconnect(&mut self, cause: DepartureCause) {
-        // First: whoever is about to send for this client sees it at once, whatever is queued before the event.
+        // Closed before the event is sent: a task that is about to send an attempt for this client checks the channel,
+        // and so sees the disconnect at once, even if other events are queued before this one.
         self.reply_receiver.close();
         let departure = ClientDeparture {
             client: self.client,
@@ -122,27 +123,28 @@
         let _ = self.context.events.send(event).await;
     }
 
-    /// Answers all that the client has sent: one that has ended only its sending still reads. What is in service has been
-    /// cancelled and may have run; what is not was never sent to a server. One that has gone resets the connection.
-    async fn answer_at_disconnect(&mut self) {
+    /// Answers everything that the client has sent, since a client that has closed only its sending side still reads.
+    /// Requests in progress fail, as they have been cancelled and may have run. Requests that were not accepted are
+    /// rejected, as they were never sent to a server. If the client has closed both sides, the writes fail.
+    async fn send_final_replies(&mut self) {
         while let Ok(reply) = self.reply_receiver.try_recv() {
             self.replies.fill(reply);
         }
-        self.replies.fill_owed(FAILED_REPLY);
+        self.replies.fill_pending(FAILED_REPLY);
         self.input.reject();
         loop {
             tokio::task::coop::consume_budget().await;
-            // Up to the end of its sending, which was seen: behind it nothing comes.
+            // Reads up to the end of the stream, which has been seen already; nothing follows it.
             let _ = self.read();
             self.take_commands().await;
             self.output.take_ready(&mut self.replies);
             match self.output.write(|bytes| self.stream.try_write(bytes)) {
                 Ok(true) => continue,
-                Ok(false) if self.owes_reply() => {}
+                Ok(false) if self.has_unsent_replies() => {}
                 Ok(false) | Err(Disconnected) => return,
             }
-            let may_write = self.output.may_write(&self.stream);
-            if tokio::time::timeout(LINGER_AFTER_ERROR, may_write)
+            let wait_until_writable = self.output.wait_until_writable(&self.stream);
+            if tokio::time::timeout(LINGER_AFTER_ERROR, wait_until_writable)
                 .await
                 .is_err()
             {
@@ -151,21 +153,21 @@
         }
     }
 
-    /// Ends the connection in order: the last reply goes out completely, and then its end. What arrives meanwhile is
-    /// discarded.
+    /// Closes the connection gracefully: shuts down the sending side after the last reply, and reads and discards input
+    /// until the client closes its side or the time is over.
     pub(super) async fn linger(&mut self) {
-        let timeout = match self.input.intake() {
-            Intake::Discard => LINGER_AFTER_ERROR,
-            Intake::Reject if self.from_reserve => LINGER_AFTER_ERROR,
-            Intake::Reject | Intake::Serve => LINGER_WHEN_IDLE,
+        let timeout = match self.input.mode() {
+            InputMode::Discard => LINGER_AFTER_ERROR,
+            InputMode::Reject if self.uses_reserved_slot => LINGER_AFTER_ERROR,
+            InputMode::Reject | InputMode::Serve => LINGER_WHEN_IDLE,
         };
-        // A connection that the client has ended already needs no end.
+        // It fails only if the connection has ended already.
         let _ = self.stream.shutdown_write();
         let _ = tokio::time::timeout(timeout, discard_input(&self.stream)).await;
     }
 }
 
-/// Reads and discards what arrives, until the client has closed its side.
+/// Reads and discards input until the client has closed its side.
 async fn discard_input(stream: &SocketStream) {
     let mut buffer = BytesMut::with_capacity(LINGER_READ_BYTES);
     for _ in 0..MAX_LINGER_READS {
--- a/crates/cache-router/src/client_connection/commands.rs
+++ b/crates/cache-router/src/client_connection/commands.rs
@@ -1,10 +1,10 @@
-//! The commands of a client: each is answered at once, or handed to the event loop, which answers it later.
+//! The commands of a client: each is answered at once, or sent to the event loop, which replies later.
 
 use bytes::Bytes;
 use routing_policy::Micros;
 
 use super::ClientConnection;
-use super::input::{Intake, ReceivedCommand};
+use super::input::{InputMode, ReceivedCommand};
 use crate::client_command::{self, Command};
 use crate::event_loop::in_flight::BUSY_REPLY;
 use crate::lifecycle::LifecyclePhase;
@@ -13,17 +13,21 @@
 
 const PONG_REPLY: &[u8] = b"+PONG\r\n";
 const LOADING_REPLY: &[u8] = b"-LOADING no list of servers yet\r\n";
-/// The reply to a command whose rest does not come. The client may be sending it still, and takes this for the answer.
+/// The reply to a command that the client does not complete. If the client does send the rest, it takes this as the
+/// reply.
 pub(super) const INCOMPLETE_REPLY: &[u8] = b"-ERR command not complete in time\r\n";
 
 impl ClientConnection {
-    /// Takes the commands that are complete.
+    /// Takes all complete commands from the input and handles them.
     pub(super) async fn take_commands(&mut self) {
         while self.can_take_commands() {
             match self.input.take_command() {
-                Ok(Some(ReceivedCommand { words, arrived_at })) => {
+                Ok(Some(ReceivedCommand {
+                    arguments,
+                    arrived_at,
+                })) => {
                     let received_at = arrived_at.unwrap_or_else(|| self.context.clock.now());
-                    self.handle_command(&words, received_at).await;
+                    self.handle_command(&arguments, received_at).await;
                 }
                 Ok(None) => break,
                 Err(error) => self.push_protocol_error(error),
@@ -31,8 +35,8 @@
         }
     }
 
-    /// Rejects commands that have been read ahead, if there are too many: the client's close may be behind what it has
-    /// sent, and is only seen once that has been read.
+    /// Rejects commands if too many have been read ahead. The client's close may follow the input that it has sent, and
+    /// is only seen once that input has been read.
     pub(super) fn reject_excess_commands(&mut self) {
         if self.can_take_commands() || !self.input.is_full() {
             return;
@@ -46,13 +50,14 @@
         }
     }
 
-    /// Answers input that is not a command.
+    /// Queues the error reply to input that is not a command.
     fn push_protocol_error(&mut self, error: RespError) {
         self.replies
             .push_ready(format!("-ERR protocol error: {error}\r\n"));
     }
 
-    /// Answers the command that the client has left incomplete; all input behind it is lost. `false` if there is none.
+    /// Answers the command that the client has left incomplete, and discards all input from there on. Returns `false`
+    /// if no command is incomplete.
     pub(super) fn reject_incomplete_command(&mut self, reply: &'static [u8]) -> bool {
         let is_incomplete = self.input.incomplete_since().is_some();
         if is_incomplete {
@@ -62,8 +67,8 @@
         is_incomplete
     }
 
-    async fn handle_command(&mut self, words: &[Bytes], received_at: Micros) {
-        match client_command::parse(words, &self.context.deployment) {
+    async fn handle_command(&mut self, arguments: &[Bytes], received_at: Micros) {
+        match client_command::parse(arguments, &self.context.deployment) {
             Ok(Command::Ping) => {
                 let phase = *self.context.lifecycle.borrow();
                 let reply = match phase {
@@ -77,17 +82,17 @@
         }
     }
 
-    /// Hands a request to the event loop, unless the connection is about to close or there is no slot for it: it is
-    /// rejected then without the policy, which is harmless as it was never sent to a server.
+    /// Sends a request to the event loop. If the connection is about to close or no request slot is free, it is
+    /// rejected without asking the routing policy, which is safe because it was never sent to a server.
     async fn handle_request(&mut self, command: ClientCommand, received_at: Micros) {
-        if self.from_reserve && self.context.only_reserve_left() {
-            self.stop_serving();
+        if self.uses_reserved_slot && self.context.only_reserved_slots_left() {
+            self.start_rejecting();
         }
-        if self.input.intake() != Intake::Serve {
+        if self.input.mode() != InputMode::Serve {
             self.replies.push_ready(BUSY_REPLY);
             return;
         }
-        self.from_reserve = false;
+        self.uses_reserved_slot = false;
         let Ok(permit) = self.context.request_slots.clone().try_acquire_owned() else {
             self.replies.push_ready(BUSY_REPLY);
             return;
--- a/crates/cache-router/src/client_connection/input.rs
+++ b/crates/cache-router/src/client_connection/input.rs
@@ -1,4 +1,4 @@
-//! The input of a client: what has been read of its socket, and the commands that are taken off it.
+//! The input of a client: the bytes read from its socket, and the commands that are parsed from them.
 
 use std::io;
 use std::time::Duration;
@@ -13,35 +13,35 @@
 use crate::resp::{self, RespError};
 use crate::socket::errors::is_not_ready;
 
-/// While no command is taken, this many bytes are read ahead all the same: behind them may be the client's close, and
-/// the time of a request counts from when it arrived. It has to exceed the longest command.
+/// How many bytes are read ahead while no command is taken. Reading goes on because the client's close may follow these
+/// bytes, and because the deadline of a request counts from its arrival. It has to exceed the longest command.
 const MAX_READ_AHEAD_BYTES: usize = 128 * 1024;
-/// When that much has been read ahead, commands are rejected until this much is left.
+/// Once [`MAX_READ_AHEAD_BYTES`] have been read ahead, commands are rejected until no more than this is left.
 const READ_AHEAD_BYTES_TO_KEEP: usize = MAX_READ_AHEAD_BYTES / 2;
-/// Of a client whose commands are not taken this many bytes are read in each interval, against one that never stops
-/// sending. What the buffers of both machines hold takes a few intervals.
-const MAX_UNSERVED_BYTES: usize = 2 * 1024 * 1024;
-/// The length of these intervals.
-pub const UNSERVED_INTERVAL: Duration = Duration::from_millis(25);
+/// How many bytes are read per [`THROTTLE_INTERVAL`] while commands are not taken, in case a client never stops
+/// sending. The content of the socket buffers of both machines is read within a few intervals.
+const MAX_THROTTLED_BYTES: usize = 2 * 1024 * 1024;
+/// The interval over which throttled reads are counted.
+pub const THROTTLE_INTERVAL: Duration = Duration::from_millis(25);
 /// Free space in the input buffer before each read, in bytes.
 const READ_CAPACITY: usize = 4096;
 
-/// What becomes of the commands of a client.
+/// How the input of a client is handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Intake {
-    /// They are served.
+pub enum InputMode {
+    /// Commands are served.
     #[default]
     Serve,
-    /// The connection is about to close: each that has been read is answered with a rejection.
+    /// The connection is about to close: each command that is read is rejected.
     Reject,
-    /// No command can be told from the input any more: it is discarded.
+    /// The command boundaries are lost: all input is discarded.
     Discard,
 }
 
 /// A command as it was received.
 pub struct ReceivedCommand {
-    /// Its words.
-    pub words: Vec<Bytes>,
+    /// Its name, followed by its arguments.
+    pub arguments: Vec<Bytes>,
     /// When its last byte arrived, if that is known.
     pub arrived_at: Option<Micros>,
 }
@@ -52,11 +52,11 @@
     arrival_times: ArrivalTimes,
     /// When bytes last arrived.
     last_read_at: Option<Instant>,
-    /// Since when the first command that is not taken is known to be incomplete.
+    /// Since when the next command has been incomplete, as far as known.
     incomplete_since: Option<Instant>,
-    intake: Intake,
-    /// Bytes that were read in the present interval while commands were not taken.
-    unserved_bytes: usize,
+    mode: InputMode,
+    /// Bytes that were read in the current interval while commands were not taken.
+    throttled_bytes: usize,
     interval_ends_at: Instant,
     failures: LocalFailures,
 }
@@ -68,83 +68,83 @@
             arrival_times: ArrivalTimes::default(),
             last_read_at: None,
             incomplete_since: None,
-            intake: Intake::default(),
-            unserved_bytes: 0,
-            interval_ends_at: Instant::now() + UNSERVED_INTERVAL,
+            mode: InputMode::default(),
+            throttled_bytes: 0,
+            interval_ends_at: Instant::now() + THROTTLE_INTERVAL,
             failures: LocalFailures::default(),
         }
     }
 }
 
 impl ClientInput {
-    /// Whether nothing has been read that is not taken.
+    /// Whether no input is waiting to be processed.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// What becomes of the commands.
-    pub fn intake(&self) -> Intake {
-        self.intake
+    /// How the input is handled.
+    pub fn mode(&self) -> InputMode {
+        self.mode
     }
 
-    /// Rejects from now on the commands that are complete.
+    /// Rejects commands from now on.
     pub fn reject(&mut self) {
-        if self.intake == Intake::Serve {
-            self.intake = Intake::Reject;
+        if self.mode == InputMode::Serve {
+            self.mode = InputMode::Reject;
         }
     }
 
-    /// Discards what has been read, and from now on what arrives.
+    /// Discards what has been read and all later input.
     pub fn discard(&mut self) {
         self.buffer = BytesMut::new();
         self.arrival_times = ArrivalTimes::default();
         self.incomplete_since = None;
-        self.intake = Intake::Discard;
+        self.mode = InputMode::Discard;
     }
 
-    /// Since when the client has left a command incomplete, whether or not more bytes of it come; `None` if it has not,
-    /// or while commands are not taken and the answer is not known.
+    /// Since when the client has left a command incomplete, whether or not more bytes of it have arrived since. `None`
+    /// if no command is incomplete, or if that is unknown because commands are not taken.
     pub fn incomplete_since(&self) -> Option<Instant> {
         self.incomplete_since
     }
 
-    /// Whether more is read; `takes_commands` tells whether commands are taken.
+    /// Whether more input may be read; `takes_commands` says whether commands are being taken.
     pub fn can_read(&self, takes_commands: bool) -> bool {
-        takes_commands || self.unserved_bytes < MAX_UNSERVED_BYTES && !self.is_full()
+        takes_commands || self.throttled_bytes < MAX_THROTTLED_BYTES && !self.is_full()
     }
 
-    /// Whether as much is read ahead as is kept.
+    /// Whether the read-ahead limit is reached.
     pub fn is_full(&self) -> bool {
         self.buffer.len() >= MAX_READ_AHEAD_BYTES
     }
 
-    /// Whether there is more read ahead than is left when commands are rejected.
+    /// Whether more input is buffered than is kept when commands are rejected.
     pub fn has_excess(&self) -> bool {
         self.buffer.len() > READ_AHEAD_BYTES_TO_KEEP
     }
 
-    /// Begins the next interval, if the present one is over: more may be read while commands are not taken.
+    /// Starts the next interval if the current one is over, so that more can be read while commands are not taken.
     pub fn update_interval(&mut self) {
-        if self.unserved_bytes == 0 {
+        if self.throttled_bytes == 0 {
             return;
         }
         let now = Instant::now();
         if now >= self.interval_ends_at {
-            self.unserved_bytes = 0;
-            self.interval_ends_at = now + UNSERVED_INTERVAL;
+            self.throttled_bytes = 0;
+            self.interval_ends_at = now + THROTTLE_INTERVAL;
         }
     }
 
-    /// Reads that failed for want of something on this machine.
+    /// Reads that failed for lack of resources on this machine.
     pub fn failures(&self) -> &LocalFailures {
         &self.failures
     }
 
-    /// Reads what has arrived, with `try_read` for the call on the socket, unless the next read has to wait.
+    /// Reads what has arrived, unless the pause after a failed read is not over. `try_read` reads from the socket.
     ///
     /// # Errors
     ///
-    /// If the client has closed its connection, whatever it had sent before: nobody waits for the replies.
+    /// If the client has closed its sending side or the connection is lost, even if commands have been read before it.
     pub fn read(
         &mut self,
         try_read: impl Fn(&mut BytesMut) -> io::Result<usize>,
@@ -158,51 +158,54 @@
             self.buffer.reserve(READ_CAPACITY);
             let result = try_read(&mut self.buffer);
             if result.is_ok() {
-                self.failures.succeeded();
+                self.failures.record_success();
             }
             if let Ok(count) = result
                 && !takes_commands
             {
-                self.unserved_bytes += count;
+                self.throttled_bytes += count;
             }
             match result {
                 Ok(0) => return Err(Disconnected),
-                Ok(_) if self.intake == Intake::Discard => self.buffer.clear(),
+                Ok(_) if self.mode == InputMode::Discard => self.buffer.clear(),
                 Ok(count) => {
                     self.arrival_times.add(count, clock.now());
                     self.last_read_at = Some(Instant::now());
                     if !takes_commands {
-                        // These bytes may complete it.
+                        // These bytes may complete the incomplete command.
                         self.incomplete_since = None;
                     }
-                    // More than one command holds: the rest is read once this has been parsed.
+                    // More than the longest command is buffered: parse it before reading on.
                     if self.buffer.len() > resp::MAX_COMMAND_BYTES {
                         break;
                     }
                 }
                 Err(error) if is_not_ready(&error) => {
-                    self.failures.succeeded();
+                    self.failures.record_success();
                     break;
                 }
-                Err(error) => return self.failures.failed(&error),
+                Err(error) => return self.failures.record_failure(&error),
             }
         }
         Ok(())
     }
 
-    /// Takes the next command, if it is complete.
+    /// Takes the next command from the input; `None` if it is not complete.
     ///
     /// # Errors
     ///
-    /// If the input is not a command. Its framing is lost then: it is discarded, and so is all that follows.
+    /// If the input is not a command. The command boundaries are lost then: this and all later input is discarded.
     pub fn take_command(&mut self) -> Result<Option<ReceivedCommand>, RespError> {
         let length_before = self.buffer.len();
         match resp::take_command(&mut self.buffer) {
-            Ok(Some(words)) => {
+            Ok(Some(arguments)) => {
                 let taken = length_before - self.buffer.len();
                 let arrived_at = self.arrival_times.take(taken);
                 self.incomplete_since = None;
-                Ok(Some(ReceivedCommand { words, arrived_at }))
+                Ok(Some(ReceivedCommand {
+                    arguments,
+                    arrived_at,
+                }))
             }
             Ok(None) => {
                 if !self.buffer.is_empty() && self.incomplete_since.is_none() {
--- a/crates/cache-router/src/client_connection/output.rs
+++ b/crates/cache-router/src/client_connection/output.rs
@@ -1,4 +1,4 @@
-//! The output of a client: replies that are not written to its socket yet.
+//! The output of a client: replies that have not been written to its socket yet.
 
 use std::io;
 use std::time::Duration;
@@ -11,15 +11,15 @@
 use crate::socket::SocketStream;
 use crate::socket::errors::is_not_ready;
 
-/// While this many bytes wait to be written to a client, no further command of it is taken.
+/// While this many bytes wait to be written to a client, no further command is taken from it.
 const MAX_OUTPUT_BYTES: usize = 64 * 1024;
-/// A client that takes none of its replies for this long is cut off.
+/// A client that reads none of its replies for this long is disconnected.
 pub const OUTPUT_STALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The output of a client.
+/// Buffered replies to a client.
 pub struct ClientOutput {
     buffer: BytesMut,
-    /// When the client last took something of the output, or there was none.
+    /// When output was last written to the socket, or became non-empty.
     progress_at: Instant,
     failures: LocalFailures,
 }
@@ -35,22 +35,22 @@
 }
 
 impl ClientOutput {
-    /// Whether all is written.
+    /// Whether all output is written.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// Whether so much waits to be written that no further command is taken.
+    /// Whether so much output is waiting that no further command is taken.
     pub fn is_full(&self) -> bool {
         self.buffer.len() >= MAX_OUTPUT_BYTES
     }
 
-    /// When the client is cut off if it takes nothing until then.
-    pub fn stalled_at(&self) -> Instant {
+    /// When the client is disconnected if nothing more has been written by then.
+    pub fn stall_deadline(&self) -> Instant {
         self.progress_at + OUTPUT_STALL_TIMEOUT
     }
 
-    /// Moves the replies here that are ready, in their order.
+    /// Moves the replies that are ready from the queue to the output, in order.
     pub fn take_ready(&mut self, replies: &mut ReplyQueue) {
         let was_empty = self.buffer.is_empty();
         while !self.is_full()
@@ -63,22 +63,22 @@
         }
     }
 
-    /// Writes that failed for want of something on this machine.
+    /// Writes that failed for lack of resources on this machine.
     pub fn failures(&self) -> &LocalFailures {
         &self.failures
     }
 
     /// Waits until the next write may succeed.
-    pub async fn may_write(&self, stream: &SocketStream) {
+    pub async fn wait_until_writable(&self, stream: &SocketStream) {
         match self.failures.retry_at() {
             Some(retry_at) => tokio::time::sleep_until(retry_at).await,
-            // Whether the socket is ready or has failed, the write tells.
+            // The result is ignored: if the socket has failed, the next write reports it.
             None => drop(stream.writable().await),
         }
     }
 
-    /// Writes what the kernel takes, with `try_write` for the call on the socket, unless the next write has to wait;
-    /// `true` if it took something.
+    /// Writes as much as the kernel accepts, unless the pause after a failed write is not over. `try_write` writes to
+    /// the socket. Returns `true` if something was written.
     ///
     /// # Errors
     ///
@@ -88,7 +88,7 @@
         try_write: impl FnOnce(&[u8]) -> io::Result<usize>,
     ) -> Result<bool, Disconnected> {
         if self.buffer.is_empty() {
-            // Gives back the memory that a large reply took.
+            // Frees the memory of a large reply.
             self.buffer = BytesMut::new();
             return Ok(false);
         }
@@ -99,14 +99,14 @@
             Ok(count) => {
                 let _ = self.buffer.split_to(count);
                 self.progress_at = Instant::now();
-                self.failures.succeeded();
+                self.failures.record_success();
                 Ok(true)
             }
             Err(error) if is_not_ready(&error) => {
-                self.failures.succeeded();
+                self.failures.record_success();
                 Ok(false)
             }
-            Err(error) => self.failures.failed(&error).map(|()| false),
+            Err(error) => self.failures.record_failure(&error).map(|()| false),
         }
     }
 }
--- a/crates/cache-router/src/client_connection/reply_queue.rs
+++ b/crates/cache-router/src/client_connection/reply_queue.rs
@@ -1,4 +1,4 @@
-//! The replies that a client is owed, in the order of its commands.
+//! The replies that a client is waiting for, in the order of its commands.
 
 use std::collections::VecDeque;
 
@@ -7,17 +7,17 @@
 
 use crate::message::ClientReply;
 
-/// The place of one reply.
+/// A queue entry for one reply, or for several equal ones in a row.
 struct ReplySlot {
-    /// `None` while the reply is owed.
+    /// `None` while the reply is pending.
     reply: Option<Bytes>,
-    /// How many commands behind the first have the same reply.
+    /// How many further commands get the same reply.
     repetitions: usize,
-    /// Counts a request among the open ones until its reply is passed on.
+    /// Limits the number of open requests; held until the reply is taken from the queue.
     request_permit: Option<OwnedSemaphorePermit>,
 }
 
-/// The replies that a client is owed, in the order of its commands.
+/// The replies that a client is waiting for, in the order of its commands.
 #[derive(Default)]
 pub struct ReplyQueue {
     slots: VecDeque<ReplySlot>,
@@ -26,7 +26,7 @@
 }
 
 impl ReplyQueue {
-    /// Appends the slot of a request that is still to be answered. Returns its sequence number.
+    /// Appends a slot for a request that has no reply yet. Returns its sequence number.
     pub fn reserve(&mut self, request_permit: OwnedSemaphorePermit) -> u64 {
         let sequence = self.first_sequence + self.slots.len() as u64;
         self.slots.push_back(ReplySlot {
@@ -37,7 +37,7 @@
         sequence
     }
 
-    /// Appends a reply that is there already.
+    /// Appends a reply that is already known.
     pub fn push_ready(&mut self, reply: impl Into<Bytes>) {
         self.slots.push_back(ReplySlot {
             reply: Some(reply.into()),
@@ -46,8 +46,8 @@
         });
     }
 
-    /// Appends a reply that is there already, in the last slot if that has the same. However many of one kind are owed,
-    /// they take the memory of one.
+    /// Appends a reply that is already known. If the last slot has the same reply, it is counted there: any number of
+    /// equal replies in a row takes the memory of one.
     pub fn push_repeated(&mut self, reply: &'static [u8]) {
         match self.slots.back_mut() {
             Some(last) if last.request_permit.is_none() && last.reply.as_deref() == Some(reply) => {
@@ -65,14 +65,14 @@
         }
     }
 
-    /// Puts a reply in all slots that are without one.
-    pub fn fill_owed(&mut self, reply: &'static [u8]) {
+    /// Puts a reply in all slots that have none.
+    pub fn fill_pending(&mut self, reply: &'static [u8]) {
         for slot in &mut self.slots {
             slot.reply.get_or_insert(Bytes::from_static(reply));
         }
     }
 
-    /// Takes the first reply, if it is there.
+    /// Takes the first reply, if it is known.
     pub fn pop_ready(&mut self) -> Option<Bytes> {
         let first = self.slots.front_mut()?;
         let reply = first.reply.as_ref()?;
@@ -90,12 +90,12 @@
         self.slots.len()
     }
 
-    /// Whether no reply is queued or owed.
+    /// Whether no reply is queued or pending.
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
 
-    /// Whether no reply was taken yet.
+    /// Whether no reply has been taken from the queue yet.
     pub fn is_unused(&self) -> bool {
         self.first_sequence == 0
     }
--- a/crates/cache-router/src/client_connection/wait.rs
+++ b/crates/cache-router/src/client_connection/wait.rs
@@ -1,4 +1,4 @@
-//! What a connection waits for between two looks at its buffers, and what it does when that has come.
+//! The events that a connection waits for once its buffers need no more work, and how it handles them.
 
 use std::io;
 use std::ops::ControlFlow;
@@ -7,44 +7,45 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use super::input::UNSERVED_INTERVAL;
-use super::{ClientConnection, ConnectionEnd};
+use super::input::THROTTLE_INTERVAL;
+use super::{ClientConnection, CloseReason};
 use crate::idle_connections::IdleGuard;
 use crate::lifecycle::LifecyclePhase;
 use crate::message::ClientReply;
 
-/// How often a connection that is not read from is checked for the client's close, and for whether it is read again.
-const CLOSE_CHECK_INTERVAL: Duration = UNSERVED_INTERVAL;
-/// Why a wait is over.
+/// While a connection is not read from, how often it checks for the client's close and whether it may read again.
+const CLOSE_CHECK_INTERVAL: Duration = THROTTLE_INTERVAL;
+
+/// The event that ended a wait.
 pub(super) enum WakeUp {
     /// The event loop has sent a reply.
     Reply(Option<ClientReply>),
-    /// There may be something to read, or the socket has failed.
+    /// Input may be available, or the socket has failed.
     Readable(io::Result<()>),
-    /// The kernel may take more of the output, or the socket has failed.
+    /// The kernel may accept more output, or the socket has failed.
     Writable(io::Result<()>),
-    /// A read that failed for want of something on this machine is made again.
+    /// A read that failed for lack of resources on this machine is to be retried.
     ReadRetryDue,
-    /// The same of a write.
+    /// A write that failed for lack of resources on this machine is to be retried.
     WriteRetryDue,
-    /// The phase of the router's life has changed.
+    /// The phase of the router's lifecycle has changed.
     PhaseChanged,
-    /// The router shuts down, and the first command has not come in time.
+    /// The router is shutting down, and the first command has not arrived in time.
     FirstCommandOverdue,
-    /// The router shuts down, and the connection is idle.
+    /// The router is shutting down, and the connection is idle.
     IdleInShutdown,
-    /// A new client needs the place of an idle connection.
+    /// A new client needs the slot of this idle connection.
     CloseRequested,
-    /// The client has taken none of its replies for too long.
+    /// The client has read none of its replies for too long.
     OutputStalled,
-    /// It is time to look for a close behind input that is not read.
+    /// It is time to check whether the client has closed a connection that is not being read.
     CloseCheckDue,
-    /// The client has left a command incomplete for too long.
+    /// The client has not completed its first command, or an incomplete one, in time.
     CommandOverdue,
 }
 
 impl ClientConnection {
-    /// Waits for whatever comes first. The branches are in the order of their priority.
+    /// Waits for the first event. If several are ready, the branches are tried in the order of their priority.
     pub(super) async fn wait(
         &mut self,
         lifecycle: &mut watch::Receiver<LifecyclePhase>,
@@ -74,7 +75,7 @@
                 if is_shutting_down && awaits_first_command => WakeUp::FirstCommandOverdue,
             () = std::future::ready(()), if is_shutting_down && is_idle => WakeUp::IdleInShutdown,
             () = close_requested(&mut self.idle_guard), if is_idle => WakeUp::CloseRequested,
-            () = tokio::time::sleep_until(self.output.stalled_at()),
+            () = tokio::time::sleep_until(self.output.stall_deadline()),
                 if has_output => WakeUp::OutputStalled,
             () = tokio::time::sleep(CLOSE_CHECK_INTERVAL), if !is_reading => WakeUp::CloseCheckDue,
             () = sleep_until(command_deadline), if command_deadline.is_some() => {
@@ -83,49 +84,49 @@
         }
     }
 
-    /// Does what a wake-up asks for. The connection goes on with a look at its buffers, or ends.
-    pub(super) async fn handle_wake_up(&mut self, wake_up: WakeUp) -> ControlFlow<ConnectionEnd> {
+    /// Handles a wake-up. The connection then processes its buffers again, or is closed.
+    pub(super) async fn handle_wake_up(&mut self, wake_up: WakeUp) -> ControlFlow<CloseReason> {
         match wake_up {
             WakeUp::Reply(reply) => self.handle_reply(reply),
             WakeUp::Readable(ready) => self.handle_readable(&ready),
             WakeUp::ReadRetryDue => self.handle_readable(&Ok(())),
             WakeUp::Writable(ready) => handle_writable(&ready),
-            // The output is written with the next look at the buffers.
+            // The next iteration of the connection's loop writes the output.
             WakeUp::PhaseChanged | WakeUp::CloseCheckDue | WakeUp::WriteRetryDue => {
                 ControlFlow::Continue(())
             }
             WakeUp::FirstCommandOverdue | WakeUp::IdleInShutdown | WakeUp::CloseRequested => {
                 self.close_if_idle().await
             }
-            WakeUp::OutputStalled => ControlFlow::Break(ConnectionEnd::CutOff),
+            WakeUp::OutputStalled => ControlFlow::Break(CloseReason::OutputStalled),
             WakeUp::CommandOverdue => self.handle_overdue_command().await,
         }
     }
 
-    fn handle_reply(&mut self, reply: Option<ClientReply>) -> ControlFlow<ConnectionEnd> {
+    fn handle_reply(&mut self, reply: Option<ClientReply>) -> ControlFlow<CloseReason> {
         if let Some(reply) = reply {
             self.replies.fill(reply);
         }
         ControlFlow::Continue(())
     }
 
-    fn handle_readable(&mut self, ready: &io::Result<()>) -> ControlFlow<ConnectionEnd> {
+    fn handle_readable(&mut self, ready: &io::Result<()>) -> ControlFlow<CloseReason> {
         if ready.is_err() || self.read().is_err() {
-            return ControlFlow::Break(ConnectionEnd::ByClient);
+            return ControlFlow::Break(CloseReason::ClosedByClient);
         }
         ControlFlow::Continue(())
     }
 }
 
-/// The output is written with the next look at the buffers.
-fn handle_writable(ready: &io::Result<()>) -> ControlFlow<ConnectionEnd> {
+/// Checks the socket for failure. The next iteration of the connection's loop writes the output.
+fn handle_writable(ready: &io::Result<()>) -> ControlFlow<CloseReason> {
     match ready {
         Ok(()) => ControlFlow::Continue(()),
-        Err(_) => ControlFlow::Break(ConnectionEnd::ByClient),
+        Err(_) => ControlFlow::Break(CloseReason::ClosedByClient),
     }
 }
 
-/// Waits until a time; for ever if there is none.
+/// Waits until a time, or forever if it is `None`.
 async fn sleep_until(time: Option<Instant>) {
     match time {
         Some(time) => tokio::time::sleep_until(time).await,
--- a/crates/cache-router/src/client_context.rs
+++ b/crates/cache-router/src/client_context.rs
@@ -1,4 +1,4 @@
-//! What the listener and all connections of clients share.
+//! State that the listener and all client connections share.
 
 use std::sync::Arc;
 
@@ -10,29 +10,31 @@
 use crate::lifecycle::LifecyclePhase;
 use crate::message::RouterEvent;
 
-/// What the listener and all connections of clients share.
+/// State that the listener and all client connections share.
 pub struct ClientContext {
     /// The settings of the deployment.
     pub deployment: Arc<Deployment>,
     /// The router's clock.
     pub clock: Clock,
-    /// The event loop.
+    /// Sends events to the event loop.
     pub events: mpsc::Sender<RouterEvent>,
     /// The phase of the router's lifecycle.
     pub lifecycle: watch::Receiver<LifecyclePhase>,
-    /// Connections that may still be accepted, the reserve included.
+    /// One permit for each connection that may still be served, including the reserved slots.
     pub connection_slots: Arc<Semaphore>,
-    /// How many of these are a reserve for connections that are rejected in order instead of left to wait.
+    /// How many of the slots are reserved for connections whose requests are rejected, so that clients get a reply
+    /// instead of waiting when all other slots are taken.
     pub reserved_slots: usize,
-    /// The idle connections, of which one closes if a new client needs its place.
+    /// The idle connections, one of which is closed if a new client needs its slot.
     pub idle_connections: Arc<IdleConnections>,
-    /// Requests that may still be accepted. One counts until its reply is passed on, which bounds memory.
+    /// One permit for each request that may still be accepted. A request holds its permit until its reply is moved to
+    /// the output, which bounds memory.
     pub request_slots: Arc<Semaphore>,
 }
 
 impl ClientContext {
-    /// Whether only slots of the reserve are left for connections.
-    pub fn only_reserve_left(&self) -> bool {
+    /// Whether only reserved slots are left for connections.
+    pub fn only_reserved_slots_left(&self) -> bool {
         self.connection_slots.available_permits() < self.reserved_slots
     }
 }
--- a/crates/cache-router/src/idle_connections.rs
+++ b/crates/cache-router/src/idle_connections.rs
@@ -1,13 +1,13 @@
-//! The connections of clients that are idle, which is between two requests: where a new client finds no place, the one
-//! that has been idle for longest is asked to close. Each is asked once, and one that receives its next
-//! request at that moment passes the close request on.
+//! The idle client connections, which are those between two requests. If a new client finds no free slot, the
+//! connection that has been idle for longest is asked to close. Each connection is asked at most once. If it receives
+//! its next request at that moment, the close request goes to another idle connection.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use tokio::sync::oneshot;
 
-/// All idle connections of clients. Shared by the listener and the connections; its lock is never held over an await.
+/// All idle client connections. Shared by the listener and the connections. The lock is never held across an await.
 #[derive(Default)]
 pub struct IdleConnections {
     registry: Mutex<Registry>,
@@ -16,26 +16,27 @@
 #[derive(Default)]
 struct Registry {
     next_number: u64,
-    /// How to ask each idle connection to close. Numbers grow, so the first has been idle for longest.
+    /// The channel that asks each idle connection to close. Numbers increase, so the first has been idle for longest.
     close_requests: BTreeMap<u64, oneshot::Sender<()>>,
-    /// A new client waits for a place and none was idle when it came: the next connection that becomes idle is asked.
-    close_next: bool,
+    /// Whether the next connection that becomes idle is asked to close: a new client waits for a slot, and no
+    /// connection was idle when it was accepted.
+    close_next_idle: bool,
 }
 
 impl IdleConnections {
-    /// The lock. A panic elsewhere leaves no half-made change behind, so a poisoned one is used on.
+    /// Locks the registry. A poisoned lock can be used, since no panic leaves a change incomplete.
     fn registry(&self) -> MutexGuard<'_, Registry> {
         self.registry.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Registers a connection that becomes idle, until the returned guard is dropped.
+    /// Registers a connection as idle until the returned guard is dropped.
     pub fn register(self: &Arc<Self>) -> IdleGuard {
-        let (close_request, requested) = oneshot::channel();
+        let (close_request, close_receiver) = oneshot::channel();
         let mut registry = self.registry();
         let number = registry.next_number;
         registry.next_number += 1;
-        if std::mem::take(&mut registry.close_next) {
-            // It is asked as it becomes idle; its guard is not there yet, so the send can't fail.
+        if std::mem::take(&mut registry.close_next_idle) {
+            // The receiver still exists here, so the send can't fail.
             let _ = close_request.send(());
         } else {
             registry.close_requests.insert(number, close_request);
@@ -44,27 +45,28 @@
         IdleGuard {
             connections: self.clone(),
             number,
-            close_requested: requested,
-            closes: false,
+            close_requested: close_receiver,
+            is_closing: false,
         }
     }
 
     /// Asks the connection that has been idle for longest to close; `false` if none is idle.
-    pub fn ask_one_to_close(&self) -> bool {
+    pub fn request_close(&self) -> bool {
         let longest_idle = self.registry().close_requests.pop_first();
-        // One that was dropped at this moment has taken itself off before.
+        // A guard removes its entry before its receiver is dropped, so the send fails only if the guard is being
+        // dropped.
         longest_idle.is_some_and(|(_, close_request)| close_request.send(()).is_ok())
     }
 
-    /// The same for a new client that waits for a place: if none is idle, the next that becomes idle is asked.
-    pub fn ask_one_or_next_to_close(&self) {
-        let asked = self.ask_one_to_close();
-        self.registry().close_next = !asked;
+    /// As [`Self::request_close`], but if no connection is idle, the next one that becomes idle is asked to close.
+    pub fn request_close_now_or_next(&self) {
+        let found_idle = self.request_close();
+        self.registry().close_next_idle = !found_idle;
     }
 
-    /// Withdraws the close request for the next connection that becomes idle, since the new client has its place.
-    pub fn cancel_ask_next(&self) {
-        self.registry().close_next = false;
+    /// Withdraws the close request for the next connection that becomes idle, since the new client has a slot.
+    pub fn cancel_close_of_next(&self) {
+        self.registry().close_next_idle = false;
     }
 
     /// How many connections are idle and have not been asked to close.
@@ -73,12 +75,12 @@
     }
 }
 
-/// A connection's time between two requests.
+/// Keeps a connection registered as idle. Dropping it ends the registration.
 pub struct IdleGuard {
     connections: Arc<IdleConnections>,
     number: u64,
     close_requested: oneshot::Receiver<()>,
-    closes: bool,
+    is_closing: bool,
 }
 
 impl IdleGuard {
@@ -89,9 +91,9 @@
         }
     }
 
-    /// Ends the idle time because the connection closes, whether it was asked to or not.
+    /// Ends the registration because the connection closes, so that a close request is not passed on.
     pub fn close(mut self) {
-        self.closes = true;
+        self.is_closing = true;
     }
 }
 
@@ -102,10 +104,11 @@
             .registry()
             .close_requests
             .remove(&self.number);
-        let was_asked = close_request.is_none();
-        // It was asked and yet is busy again: its place is still wanted, now from the next.
-        if was_asked && !self.closes {
-            self.connections.ask_one_to_close();
+        let was_requested = close_request.is_none();
+        // The close request was not followed, usually because the connection is busy again. A slot is still needed, so
+        // another connection is asked.
+        if was_requested && !self.is_closing {
+            self.connections.request_close();
         }
     }
 }
--- a/crates/cache-router/src/listener.rs
+++ b/crates/cache-router/src/listener.rs
@@ -1,6 +1,6 @@
-//! The listener: accepts the connections of clients, finds each a slot, and spawns its task.
+//! The listener: accepts client connections, acquires a slot for each, and spawns its task.
 //!
-//! Its owner spawns it as a task, which ends by itself once the router drains and no connection waits to be accepted.
+//! The listener runs as a task of its own, which ends once the router drains and no connection waits to be accepted.
 
 use std::future::Future;
 use std::io;
@@ -16,14 +16,14 @@
 use crate::message::ClientId;
 use crate::socket::listen::AcceptRetry;
 
-/// While the router drains, the listener ends when no connection has come for this long: what the kernel has accepted
-/// by then comes at once.
-const LAST_ACCEPT_WAIT: Duration = Duration::from_millis(5);
-/// A new client that has no slot after this has another idle connection asked to close: the one that was asked may be
-/// slow to close, or may have received its next request at that moment.
+/// While the router drains, the listener ends when it has accepted no connection for this long. Connections that the
+/// kernel has already established are returned at once.
+const FINAL_ACCEPT_TIMEOUT: Duration = Duration::from_millis(5);
+/// If a new client has no slot after this time, another idle connection is asked to close: the first one may be slow to
+/// close, or may have received its next request at that moment.
 const SLOT_RETRY_DELAY: Duration = LINGER_WHEN_IDLE.saturating_mul(2);
 
-/// Where connections come from.
+/// A source of client connections.
 pub trait ConnectionSource: Send + Sync + 'static {
     /// Waits for the next connection.
     ///
@@ -38,7 +38,7 @@
     }
 }
 
-/// Accepts connections until the router drains, and then those that the kernel has already accepted.
+/// Accepts connections until the router drains, and then those that the kernel has already established.
 pub async fn listen(listener: impl ConnectionSource, context: Arc<ClientContext>) {
     let mut lifecycle = context.lifecycle.clone();
     let mut last_client: ClientId = 0;
@@ -48,7 +48,7 @@
         let accepted = tokio::select! {
             biased;
             accepted = listener.accept() => accepted,
-            () = tokio::time::sleep(LAST_ACCEPT_WAIT), if is_draining => return,
+            () = tokio::time::sleep(FINAL_ACCEPT_TIMEOUT), if is_draining => return,
             Ok(()) = lifecycle.changed(), if !is_draining => continue,
         };
         let stream = match accepted {
@@ -58,29 +58,29 @@
                 continue;
             }
         };
-        retry.succeeded();
+        retry.record_success();
         last_client += 1;
-        // A connection is accepted before it has a slot, as nothing else tells that a client waits; while there is no
-        // slot at all, further ones wait with the kernel.
+        // A connection is accepted before it has a slot, because accepting is the only way to learn that a client is
+        // waiting. While no slot is free, further connections wait in the kernel's queue.
         let Some(slot) = acquire_slot(&context).await else {
             return;
         };
-        // The kernel may have received the new client's request already, so the client must not wait in vain: an idle
-        // connection closes in its favour, and if all are busy its request is rejected at once.
-        let from_reserve =
-            context.only_reserve_left() && !context.idle_connections.ask_one_to_close();
+        // The kernel may have received the new client's request already, so the client must not wait for nothing: an
+        // idle connection is closed to free a slot. If none is idle, the request is rejected at once.
+        let uses_reserved_slot =
+            context.only_reserved_slots_left() && !context.idle_connections.request_close();
         tokio::spawn(client_connection::serve(
             stream,
             context.clone(),
             last_client,
-            from_reserve,
+            uses_reserved_slot,
             slot,
         ));
     }
 }
 
-/// Waits until the next connection can be accepted. No failure ends the listener, nor the accepting of what the kernel
-/// holds while the router drains.
+/// Waits until accepting can be retried. No failure ends the listener, and while the router drains, connections that
+/// the kernel has established are accepted in spite of failures.
 async fn wait_after_failure(retry: &mut AcceptRetry, error: &io::Error) {
     let Some(pause) = retry.pause_after(error) else {
         return;
@@ -91,18 +91,18 @@
     tokio::time::sleep(pause).await;
 }
 
-/// A slot for a connection, in favour of which an idle connection is asked to close if there is none; `None` once there
-/// are no slots any more.
+/// Acquires a slot for a connection. If none is free, idle connections are asked to close. Returns `None` if the
+/// semaphore is closed.
 async fn acquire_slot(context: &ClientContext) -> Option<OwnedSemaphorePermit> {
     let slots = &context.connection_slots;
     if let Ok(slot) = slots.clone().try_acquire_owned() {
         return Some(slot);
     }
     loop {
-        context.idle_connections.ask_one_or_next_to_close();
-        let freed = slots.clone().acquire_owned();
-        if let Ok(slot) = tokio::time::timeout(SLOT_RETRY_DELAY, freed).await {
-            context.idle_connections.cancel_ask_next();
+        context.idle_connections.request_close_now_or_next();
+        let free_slot = slots.clone().acquire_owned();
+        if let Ok(slot) = tokio::time::timeout(SLOT_RETRY_DELAY, free_slot).await {
+            context.idle_connections.cancel_close_of_next();
             return slot.ok();
         }
     }
--- a/crates/cache-router/src/socket.rs
+++ b/crates/cache-router/src/socket.rs
@@ -1,8 +1,9 @@
-//! The only module that decides what a failed system call on a socket means, and that reads, writes and opens sockets.
+//! Socket I/O and the classification of socket errors.
 //!
-//! [`errors`] has the table of errors. [`stream`] reads and writes a connected socket so that neither a short count nor
-//! an interrupted call leaves bytes unread or unwritten, [`connect`] opens one, and [`listen`] judges failures to accept. Connections to clients, to servers
-//! and to discovery all use it; no other file looks at the kind of an I/O error.
+//! [`errors`] has the table of errors. [`stream`] reads and writes a connected socket and handles short counts and
+//! interrupted calls, so that no bytes are left unread or unwritten. [`connect`] opens connections, and [`listen`]
+//! classifies failures to listen and to accept. Connections to clients, to servers and to discovery all use this
+//! module, and no other module interprets socket errors itself.
 
 pub mod connect;
 pub mod errors;
--- a/crates/cache-router/src/socket/connect.rs
+++ b/crates/cache-router/src/socket/connect.rs
@@ -1,4 +1,4 @@
-//! Opening a connection, with further tries while this machine lacks something for a moment.
+//! Opens connections, with retries while this machine is temporarily short of a resource.
 
 use std::future::Future;
 use std::io;
@@ -17,18 +17,20 @@
 #[derive(Debug, Error)]
 pub enum ConnectError {
     /// The peer has not answered by the deadline.
-    #[error("the peer has not accepted the connection in time")]
+    #[error("the peer did not accept the connection before the deadline")]
     TimedOut,
-    /// This machine could not open it by the deadline. The peer was never asked.
-    #[error("this machine can open no connection: {0}; check its limits on descriptors and ports")]
+    /// This machine lacked the resources to open the connection by the deadline. The peer was not contacted.
+    #[error(
+        "this machine cannot open the connection: {0}; check its limits on descriptors and ports"
+    )]
     Local(io::Error),
-    /// The peer has refused it, or cannot be reached.
+    /// The peer has refused the connection, or cannot be reached.
     #[error("the peer cannot be reached: {0}")]
     Peer(io::Error),
 }
 
-/// Opens a connection by a deadline. What this machine lacks for a moment is waited for, and reported to
-/// `on_local_failure` each time.
+/// Opens a connection by a deadline. An attempt that fails for lack of resources on this machine is retried after
+/// [`LOCAL_RETRY_PAUSE`]; `on_local_failure` is called for each such failure.
 ///
 /// # Errors
 /// If the connection is not established by the deadline, or the peer refuses it.
@@ -42,7 +44,7 @@
     Ok(SocketStream::new(stream))
 }
 
-/// As [`connect`], with the call that opens a connection once.
+/// As [`connect`], but `open` makes one attempt to open the connection.
 ///
 /// # Errors
 /// As [`connect`].
@@ -63,7 +65,7 @@
             ErrorMeaning::RetryNow | ErrorMeaning::RetrySoon => {}
             ErrorMeaning::ConnectionLost => return Err(ConnectError::Peer(failure)),
             ErrorMeaning::ProgramFault => {
-                error!(error = %failure, "a connection cannot be opened by a fault of this program");
+                error!(error = %failure, "cannot open a connection because of a bug in this program");
                 return Err(ConnectError::Peer(failure));
             }
         }
--- a/crates/cache-router/src/socket/errors.rs
+++ b/crates/cache-router/src/socket/errors.rs
@@ -1,30 +1,29 @@
-//! What a failed system call on a socket means for its caller.
+//! Classifies the errors of system calls on sockets.
 
 use std::io;
 
-/// What a failed system call on a socket means for its caller.
+/// What a failed system call on a socket means for the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ErrorMeaning {
-    /// The call did nothing and can be made again at once.
+    /// The call did nothing and can be retried at once.
     RetryNow,
-    /// This machine lacks something at the moment. Nothing was sent, the peer is not to blame, and the call may succeed
-    /// after a pause.
+    /// This machine is temporarily short of a resource. Nothing was sent, the peer is not the cause, and the call may
+    /// succeed after a pause.
     RetrySoon,
-    /// The connection, or the attempt to open it, has failed. This is the meaning of all errors that the table does not
-    /// list.
+    /// The connection, or the attempt to open it, has failed. All errors that the table does not list mean this.
     ConnectionLost,
-    /// The program has made a call that cannot succeed. The connection is of no use either.
+    /// The program has made a call that cannot succeed. The connection cannot be used either.
     ProgramFault,
 }
 
 impl ErrorMeaning {
-    /// Whether the same call may still succeed.
+    /// Whether the same call may succeed if it is retried.
     pub fn is_transient(self) -> bool {
         matches!(self, ErrorMeaning::RetryNow | ErrorMeaning::RetrySoon)
     }
 }
 
-/// One row of the table of errors.
+/// A row of the table of errors.
 struct ErrorRow {
     errno: i32,
     meaning: ErrorMeaning,
@@ -38,25 +37,26 @@
 const ERROR_ROWS: [ErrorRow; 19] = [
     // A signal arrived before any byte was transferred.
     row(libc::EINTR, ErrorMeaning::RetryNow),
-    // On connect: no entry is free in a table of the kernel. Reads and writes wait for readiness instead.
+    // On connect: a kernel table, such as the routing cache, is full. On reads and writes it means "not ready", and the
+    // caller waits for readiness instead.
     row(libc::EAGAIN, ErrorMeaning::RetrySoon),
-    // The descriptors of the process or of the machine are used up.
+    // The process or the machine has no free file descriptors.
     row(libc::EMFILE, ErrorMeaning::RetrySoon),
     row(libc::ENFILE, ErrorMeaning::RetrySoon),
-    // Memory for the socket or for what is written.
+    // There is no memory for the socket or for the data to be written.
     row(libc::ENOBUFS, ErrorMeaning::RetrySoon),
     row(libc::ENOMEM, ErrorMeaning::RetrySoon),
     // On connect: all local ports are in use.
     row(libc::EADDRNOTAVAIL, ErrorMeaning::RetrySoon),
     row(libc::EADDRINUSE, ErrorMeaning::RetrySoon),
-    // This machine has no route, or its interface is down. The peer has never been asked.
+    // This machine has no route, or its interface is down. The peer was not contacted.
     row(libc::ENETUNREACH, ErrorMeaning::RetrySoon),
     row(libc::ENETDOWN, ErrorMeaning::RetrySoon),
     // Too many descriptors are watched with epoll.
     row(libc::ENOSPC, ErrorMeaning::RetrySoon),
     // The connection tracking table of the local firewall is full.
     row(libc::EPERM, ErrorMeaning::RetrySoon),
-    // These are not possible on a socket that this program has opened.
+    // These cannot occur on a socket that this program has opened and uses correctly.
     row(libc::EBADF, ErrorMeaning::ProgramFault),
     row(libc::EFAULT, ErrorMeaning::ProgramFault),
     row(libc::EINVAL, ErrorMeaning::ProgramFault),
@@ -66,10 +66,10 @@
     row(libc::EOPNOTSUPP, ErrorMeaning::ProgramFault),
 ];
 
-/// What an error of a call on a socket means.
+/// Classifies the error of a system call on a socket.
 pub fn classify(error: &io::Error) -> ErrorMeaning {
     let Some(errno) = error.raw_os_error() else {
-        // Made by a library, as by the standard library for an unexpected end.
+        // Created by a library, for example by the standard library for an unexpected end of the stream.
         return ErrorMeaning::ConnectionLost;
     };
     ERROR_ROWS
@@ -78,7 +78,7 @@
         .map_or(ErrorMeaning::ConnectionLost, |row| row.meaning)
 }
 
-/// Whether a call on a non-blocking socket has to wait until the socket is ready.
+/// Whether a call on a non-blocking socket failed because the socket is not ready.
 pub fn is_not_ready(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::WouldBlock
 }
--- a/crates/cache-router/src/socket/listen.rs
+++ b/crates/cache-router/src/socket/listen.rs
@@ -1,4 +1,4 @@
-//! What failures mean for a socket that listens: of opening it, and of accepting connections from it.
+//! Classifies failures of listening sockets: of opening them, and of accepting connections.
 
 use std::io;
 use std::time::Duration;
@@ -6,19 +6,19 @@
 use super::errors::{ErrorMeaning, classify};
 use super::stream::LOCAL_RETRY_PAUSE;
 
-/// Connections in a row that could not be accepted, after which there is a pause in any case.
+/// After this many consecutive failures to accept, the listener pauses whatever the error is.
 const MAX_FAILURES_WITHOUT_PAUSE: u32 = 16;
 
-/// One row of the table of errors while a socket is opened for listening, or the runtime is started.
+/// A row of the table of errors that can occur while a listening socket is opened or the runtime is started.
 struct OpenRow {
     errno: i32,
-    /// Whether the call may succeed after a while.
+    /// Whether the call may succeed later.
     may_pass: bool,
-    /// What an operator can do.
+    /// What an operator can do about the error.
     remedy: &'static str,
 }
 
-const fn passing(errno: i32, remedy: &'static str) -> OpenRow {
+const fn transient(errno: i32, remedy: &'static str) -> OpenRow {
     OpenRow {
         errno,
         may_pass: true,
@@ -34,29 +34,29 @@
     }
 }
 
-/// The errors of socket(2), bind(2), listen(2), `epoll_create1(2)` and eventfd(2). An error that is not listed may pass:
-/// a start that waits in vain costs less than a router that stays down.
+/// The errors of socket(2), bind(2), listen(2), `epoll_create1(2)` and eventfd(2). An error that is not listed counts
+/// as transient: retrying without success costs less than a router that does not start.
 const OPEN_ROWS: [OpenRow; 11] = [
-    // An earlier router gives its address up when its last replies are written.
-    passing(
+    // A previous router process releases the address once its last replies are written.
+    transient(
         libc::EADDRINUSE,
         "end the process that listens there, or change `listen`",
     ),
-    // The address of a machine may be set up after its programs have started.
-    passing(
+    // The machine's address may be configured after its programs have started.
+    transient(
         libc::EADDRNOTAVAIL,
         "give this machine the address, or correct `listen`",
     ),
-    passing(
+    transient(
         libc::EMFILE,
         "raise the limit on descriptors of the process",
     ),
-    passing(libc::ENFILE, "raise the limit on open files of the machine"),
-    passing(libc::ENOBUFS, "free memory on this machine"),
-    passing(libc::ENOMEM, "free memory on this machine"),
-    // A right to a port does not come by itself.
+    transient(libc::ENFILE, "raise the limit on open files of the machine"),
+    transient(libc::ENOBUFS, "free memory on this machine"),
+    transient(libc::ENOMEM, "free memory on this machine"),
+    // The permission to use a port does not change while the router waits.
     permanent(libc::EACCES, "choose a port that the user may listen on"),
-    // The machine does not have the protocol of the address, or not at all what a router needs.
+    // The machine does not support the address's protocol, or lacks a system call that the router needs.
     permanent(
         libc::EAFNOSUPPORT,
         "choose an address of a protocol that this machine has",
@@ -70,7 +70,7 @@
 ];
 const UNLISTED_REMEDY: &str = "check `listen` and the limits of the process";
 
-/// Whether a socket that could not be opened for listening may be opened after a while.
+/// Whether opening a listening socket may succeed later, after it has failed with this error.
 pub fn may_pass(error: &io::Error) -> bool {
     open_row(error).is_none_or(|row| row.may_pass)
 }
@@ -85,8 +85,8 @@
     OPEN_ROWS.iter().find(|row| row.errno == errno)
 }
 
-/// The errors of accept(2) that concern one connection: it has ended, or its network had trouble, before it was
-/// accepted. The connection after it may be accepted at once.
+/// The errors of accept(2) that concern a single connection: it ended, or its network failed, before it was accepted.
+/// The next connection may be accepted at once.
 const ONE_CONNECTION_ERRORS: [i32; 12] = [
     libc::ECONNABORTED,
     libc::ECONNRESET,
@@ -99,52 +99,52 @@
     libc::EHOSTUNREACH,
     libc::ENONET,
     libc::ETIMEDOUT,
-    // A rule of the firewall forbids this connection.
+    // A firewall rule forbids this connection.
     libc::EPERM,
 ];
 
-/// What an error of accept(2) means: [`ErrorMeaning::RetryNow`] if the next connection can be accepted at once. All that
-/// is not known to concern one connection is waited for.
+/// Classifies an error of accept(2): [`ErrorMeaning::RetryNow`] if the next connection can be accepted at once. All
+/// errors that are not known to concern a single connection require a pause.
 pub fn classify_accept(error: &io::Error) -> ErrorMeaning {
-    let concerns_one = error
+    let concerns_one_connection = error
         .raw_os_error()
         .is_some_and(|errno| ONE_CONNECTION_ERRORS.contains(&errno));
     match classify(error) {
-        _ if concerns_one => ErrorMeaning::RetryNow,
+        _ if concerns_one_connection => ErrorMeaning::RetryNow,
         ErrorMeaning::RetryNow => ErrorMeaning::RetryNow,
         ErrorMeaning::ProgramFault => ErrorMeaning::ProgramFault,
         ErrorMeaning::RetrySoon | ErrorMeaning::ConnectionLost => ErrorMeaning::RetrySoon,
     }
 }
 
-/// The pauses of a listener between calls of accept(2) that fail.
+/// Decides on the pauses of a listener after failed calls of accept(2).
 #[derive(Debug, Default)]
 pub struct AcceptRetry {
-    /// Since the last connection that was accepted.
+    /// Failures since the last accepted connection.
     failures: u32,
-    /// Since the last connection that was accepted.
+    /// Pauses since the last accepted connection.
     pauses: u32,
 }
 
 impl AcceptRetry {
-    /// A connection was accepted.
-    pub fn succeeded(&mut self) {
+    /// Records that a connection was accepted.
+    pub fn record_success(&mut self) {
         *self = AcceptRetry::default();
     }
 
-    /// Accepting has failed: how long to wait before the next try, if at all.
+    /// Records a failure to accept. Returns how long to wait before the next call, or `None` to retry at once.
     pub fn pause_after(&mut self, error: &io::Error) -> Option<Duration> {
         self.failures += 1;
-        let can_go_on = classify_accept(error) == ErrorMeaning::RetryNow
+        let retries_at_once = classify_accept(error) == ErrorMeaning::RetryNow
             && self.failures <= MAX_FAILURES_WITHOUT_PAUSE;
-        if can_go_on {
+        if retries_at_once {
             return None;
         }
         self.pauses += 1;
         Some(LOCAL_RETRY_PAUSE)
     }
 
-    /// Whether there was one pause since the last connection that was accepted.
+    /// Whether there has been exactly one pause since the last accepted connection.
     pub fn is_first_pause(&self) -> bool {
         self.pauses == 1
     }
--- a/crates/cache-router/src/socket/stream.rs
+++ b/crates/cache-router/src/socket/stream.rs
@@ -1,8 +1,8 @@
-//! A connected socket whose reads and writes bear short counts, interrupted calls and a momentary lack of memory.
+//! A connected socket whose reads and writes handle short counts, interrupted calls and a temporary lack of memory.
 //!
-//! Readiness is edge triggered. The runtime's own reads and writes take a count below the size of the buffer for a
-//! drained socket and wait for the next edge, which does not come if the kernel had more to give. Here a socket counts
-//! as drained only when a call reports that it would block.
+//! Readiness is edge triggered. If a read or write of the runtime itself transfers fewer bytes than the buffer holds,
+//! the runtime takes the socket as drained and waits for the next edge, which never comes if the kernel has more data.
+//! Here a socket is taken as drained only when a call reports that it would block.
 
 use std::future::{Future, poll_fn};
 use std::io;
@@ -19,30 +19,31 @@
 
 use super::errors::{ErrorMeaning, classify, is_not_ready};
 
-/// How often a call that was interrupted is made again at once; after that it is made again after a pause.
+/// How often an interrupted call is made without a pause. If it is still interrupted, the error is returned, and the
+/// caller may retry it after a pause.
 const MAX_INTERRUPTED_CALLS: usize = 16;
-/// The pause before a call is made again that failed for want of something on this machine.
+/// The pause before a call is retried that failed for lack of resources on this machine.
 pub const LOCAL_RETRY_PAUSE: Duration = Duration::from_millis(5);
-/// A connection whose calls have failed for want of something on this machine for this long is lost.
+/// A connection counts as lost if its calls have failed for lack of resources on this machine for this long.
 pub const LOCAL_FAILURE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The calls that [`SocketStream`] makes on a non-blocking socket.
+/// The operations that [`SocketStream`] needs of a non-blocking socket.
 pub trait RawSocket {
-    /// Waits until the socket may have something to read.
+    /// Polls until the socket may be readable.
     fn poll_read_ready(&self, context: &mut Context<'_>) -> Poll<io::Result<()>>;
-    /// Waits until the socket may take something.
+    /// Polls until the socket may be writable.
     fn poll_write_ready(&self, context: &mut Context<'_>) -> Poll<io::Result<()>>;
-    /// Reads what there is, without waiting.
+    /// Reads what is available, without waiting.
     ///
     /// # Errors
     /// As recv(2).
     fn try_read(&self, buffer: &mut [u8]) -> io::Result<usize>;
-    /// Writes what the kernel takes, without waiting.
+    /// Writes as much as the kernel accepts, without waiting.
     ///
     /// # Errors
     /// As send(2).
     fn try_write(&self, bytes: &[u8]) -> io::Result<usize>;
-    /// Ends the side that is written to.
+    /// Shuts down the sending side.
     ///
     /// # Errors
     /// As shutdown(2).
@@ -71,7 +72,7 @@
     }
 }
 
-/// A connected socket.
+/// A connected socket that retries interrupted calls and calls that failed for lack of local resources.
 pub struct SocketStream<S = TcpStream> {
     socket: S,
     read_retry: LocalRetry,
@@ -79,14 +80,14 @@
 }
 
 impl SocketStream<TcpStream> {
-    /// Takes over a connected socket. Small writes are sent at once.
+    /// Wraps a connected socket and sets `TCP_NODELAY`, so that small writes are sent at once.
     pub fn new(socket: TcpStream) -> Self {
-        // Without it the exchange is only slower.
+        // If this fails, communication is only slower.
         let _ = socket.set_nodelay(true);
         SocketStream::from_raw(socket)
     }
 
-    /// Waits until the socket may have something to read.
+    /// Waits until the socket may be readable.
     ///
     /// # Errors
     /// If the runtime shuts down.
@@ -94,7 +95,7 @@
         self.socket.readable().await
     }
 
-    /// Waits until the socket may take something.
+    /// Waits until the socket may be writable.
     ///
     /// # Errors
     /// If the runtime shuts down.
@@ -102,7 +103,7 @@
         self.socket.writable().await
     }
 
-    /// Waits until the socket may be ready, and tells for what.
+    /// Waits until the socket may be ready for some of `interest`. Returns for what.
     ///
     /// # Errors
     /// If the runtime shuts down.
@@ -110,19 +111,19 @@
         self.socket.ready(interest).await
     }
 
-    /// Appends what there is to read to a buffer, without waiting. A count of 0 is the peer's end, if there was free
-    /// space in the buffer.
+    /// Appends the available input to a buffer, without waiting. A count of 0 means that the peer has closed its side,
+    /// if the buffer had free space.
     ///
     /// # Errors
-    /// As recv(2); [`is_not_ready`] tells that there is nothing to read.
+    /// As recv(2); [`is_not_ready`] is true for the error if there is nothing to read.
     pub fn try_read_buf(&self, buffer: &mut BytesMut) -> io::Result<usize> {
         retry_interrupted(|| self.socket.try_read_buf(buffer))
     }
 
-    /// Writes what the kernel takes, without waiting.
+    /// Writes as much as the kernel accepts, without waiting.
     ///
     /// # Errors
-    /// As send(2); [`is_not_ready`] tells that the kernel takes nothing now.
+    /// As send(2); [`is_not_ready`] is true for the error if the kernel accepts nothing now.
     pub fn try_write(&self, bytes: &[u8]) -> io::Result<usize> {
         retry_interrupted(|| self.socket.try_write(bytes))
     }
@@ -138,8 +139,8 @@
         }
     }
 
-    /// Waits until the kernel takes the first of some bytes, and returns how many it took. Unlike a write, it does not
-    /// wait for what this machine lacks: meanwhile the bytes could become out of date.
+    /// Waits until the kernel accepts at least the first byte. Returns how many bytes it accepted. Unlike `poll_write`,
+    /// it does not retry when this machine is short of resources: the bytes could become out of date during the pause.
     ///
     /// # Errors
     /// As send(2).
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Ends the side that is written to. What the kernel holds is still sent.
+    /// Shuts down the sending side. Data that the kernel has buffered is still sent.
     ///
     /// # Errors
     /// As shutdown(2): the connection has ended already.
@@ -175,11 +176,11 @@
             match retry_interrupted(|| this.socket.try_read(buffer.initialize_unfilled())) {
                 Ok(count) => {
                     buffer.advance(count);
-                    this.read_retry.succeeded();
+                    this.read_retry.record_success();
                     return Poll::Ready(Ok(()));
                 }
                 Err(error) if is_not_ready(&error) => {}
-                Err(error) => this.read_retry.failed(error)?,
+                Err(error) => this.read_retry.record_failure(error)?,
             }
         }
     }
@@ -197,11 +198,11 @@
             ready!(this.socket.poll_write_ready(context))?;
             match retry_interrupted(|| this.socket.try_write(bytes)) {
                 Ok(count) => {
-                    this.write_retry.succeeded();
+                    this.write_retry.record_success();
                     return Poll::Ready(Ok(count));
                 }
                 Err(error) if is_not_ready(&error) => {}
-                Err(error) => this.write_retry.failed(error)?,
+                Err(error) => this.write_retry.record_failure(error)?,
             }
         }
     }
@@ -215,7 +216,7 @@
     }
 }
 
-/// Makes a call again at once while it is interrupted, but not for ever.
+/// Retries a call at once while it is interrupted, up to [`MAX_INTERRUPTED_CALLS`] calls in all.
 fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     for _ in 1..MAX_INTERRUPTED_CALLS {
         match call() {
@@ -226,17 +227,17 @@
     call()
 }
 
-/// The pauses between calls that fail for want of something on this machine.
+/// The pauses between calls that fail for lack of resources on this machine.
 #[derive(Default)]
 struct LocalRetry {
-    /// The pause that has begun.
+    /// The pause in progress.
     pause: Option<Pin<Box<Sleep>>>,
-    /// Since when no call has succeeded.
+    /// When the first of the consecutive failures happened.
     failing_since: Option<Instant>,
 }
 
 impl LocalRetry {
-    /// Waits for the end of a pause that has begun.
+    /// Polls until the pause in progress, if any, is over.
     fn poll_pause(&mut self, context: &mut Context<'_>) -> Poll<()> {
         if let Some(pause) = &mut self.pause {
             ready!(pause.as_mut().poll(context));
@@ -245,17 +246,18 @@
         Poll::Ready(())
     }
 
-    /// A call has succeeded.
-    fn succeeded(&mut self) {
+    /// Records a successful call, which ends the run of failures.
+    fn record_success(&mut self) {
         self.failing_since = None;
     }
 
-    /// A call has failed: a pause begins, or the error is returned if it is not transient or has lasted for too long.
-    fn failed(&mut self, error: io::Error) -> io::Result<()> {
+    /// Records a failed call. Starts a pause, or returns the error if it is not transient or calls have failed for
+    /// [`LOCAL_FAILURE_TIMEOUT`].
+    fn record_failure(&mut self, error: io::Error) -> io::Result<()> {
         let now = Instant::now();
         let failing_since = *self.failing_since.get_or_insert(now);
-        let is_over = now - failing_since >= LOCAL_FAILURE_TIMEOUT;
-        if is_over || !classify(&error).is_transient() {
+        let timed_out = now - failing_since >= LOCAL_FAILURE_TIMEOUT;
+        if timed_out || !classify(&error).is_transient() {
             return Err(error);
         }
         self.pause = Some(Box::pin(tokio::time::sleep(LOCAL_RETRY_PAUSE)));
--- a/crates/cache-router/tests/client_connection/closes.rs
+++ b/crates/cache-router/tests/client_connection/closes.rs
@@ -1,4 +1,4 @@
-//! Connections that the router closes: in a shutdown, and for a new client that needs a place.
+//! Connections that the router closes: during a shutdown, and to free a slot for a new client.
 
 use std::time::Duration;
 
@@ -13,13 +13,9 @@
 };
 
 #[tokio::test(start_paused = true)]
-async fn a_shutdown_waits_a_moment_for_the_first_command_of_a_new_connection_but_not_for_the_next()
-{
-    let (mut client, surroundings) = connected().await;
-    surroundings
-        .lifecycle
-        .send(LifecyclePhase::Draining)
-        .unwrap();
+async fn a_shutdown_gives_a_new_connection_a_grace_period_for_its_first_command_only() {
+    let (mut client, harness) = connected().await;
+    harness.lifecycle.send(LifecyclePhase::Draining).unwrap();
     tokio::time::sleep(FIRST_COMMAND_GRACE / 2).await;
     client.write_all(PING).await.unwrap();
     let mut answer = [0; 7];
@@ -28,34 +24,28 @@
         (&answer, closed_after(&mut client).await),
         (b"+PONG\r\n", Duration::ZERO)
     );
-    let (mut silent, surroundings) = connected().await;
-    surroundings
-        .lifecycle
-        .send(LifecyclePhase::Draining)
-        .unwrap();
+    let (mut silent, harness) = connected().await;
+    harness.lifecycle.send(LifecyclePhase::Draining).unwrap();
     assert_eq!(closed_after(&mut silent).await, FIRST_COMMAND_GRACE);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_close_between_requests_loses_no_reply_whatever_crosses_it() {
-    // By a shutdown, and by a new client where all slots are taken.
+    // The close is caused by a shutdown, or by a new client when all slots are taken.
     for by_new_client in [false, true] {
-        let (mut client, surroundings) = connected().await;
+        let (mut client, harness) = connected().await;
         client.write_all(PING).await.unwrap();
-        while surroundings.context.idle_connections.count() == 0 {
+        while harness.context.idle_connections.count() == 0 {
             tokio::task::yield_now().await;
         }
         // The client has not read the reply yet.
         match by_new_client {
-            true => assert!(surroundings.context.idle_connections.ask_one_to_close()),
-            false => surroundings
-                .lifecycle
-                .send(LifecyclePhase::Draining)
-                .unwrap(),
+            true => assert!(harness.context.idle_connections.request_close()),
+            false => harness.lifecycle.send(LifecyclePhase::Draining).unwrap(),
         }
         let mut first = [0; 7];
         client.read_exact(&mut first[..1]).await.unwrap();
-        // The router has closed its side when the next request comes.
+        // The next request has to arrive after the router has shut down its sending side.
         while client.peek(&mut [0; 16]).await.unwrap() > 6 {
             tokio::task::yield_now().await;
         }
@@ -67,7 +57,7 @@
         client
             .read_to_end(&mut received)
             .await
-            .expect("an end, not a reset");
+            .expect("the connection ends without a reset");
         assert_eq!(received, b"PONG\r\n");
     }
 }
@@ -75,21 +65,18 @@
 #[tokio::test(start_paused = true)]
 async fn a_request_that_the_kernel_received_before_its_idle_connection_is_closed_is_served() {
     for by_new_client in [false, true] {
-        let (mut client, mut surroundings) = connected().await;
+        let (mut client, mut harness) = connected().await;
         client.write_all(PING).await.unwrap();
         client.read_exact(&mut [0; 7]).await.unwrap();
-        // At one moment, before the connection reads again.
+        // The close is requested and the bytes are written before the connection's task runs again.
         let client = client.into_std().unwrap();
         match by_new_client {
-            true => assert!(surroundings.context.idle_connections.ask_one_to_close()),
-            false => surroundings
-                .lifecycle
-                .send(LifecyclePhase::Draining)
-                .unwrap(),
+            true => assert!(harness.context.idle_connections.request_close()),
+            false => harness.lifecycle.send(LifecyclePhase::Draining).unwrap(),
         }
         std::io::Write::write_all(&mut &client, &get(1)).unwrap();
         assert_eq!(
-            surroundings.next_requests(1).await.len(),
+            harness.next_requests(1).await.len(),
             1,
             "by a new client: {by_new_client}"
         );
@@ -97,11 +84,12 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn with_all_slots_taken_the_connection_that_was_idle_for_longest_closes_and_no_other_later() {
+async fn with_all_slots_taken_the_longest_idle_connection_is_closed_and_no_other_once_slots_are_free()
+ {
     let (first, _surroundings) = connected().await;
     let address = first.peer_addr().unwrap();
     let mut clients = take_all_slots(first).await;
-    // The second is idle for longest, the first has been busy since.
+    // The second client is idle for longest; the first was busy again later.
     for number in [1, 0, 2, 3, 0] {
         clients[number].write_all(PING).await.unwrap();
         clients[number].read_exact(&mut [0; 7]).await.unwrap();
@@ -119,7 +107,7 @@
         is_closed(&mut clients[1]).await,
         "the one that was idle for longest"
     );
-    // Slots are free again: no connection is asked to close by a request that was left over.
+    // Slots are free again: no close request must remain that would close another connection.
     drop(new_client);
     clients.remove(1);
     let mut remaining = 0;
@@ -128,37 +116,34 @@
     }
     assert!(
         remaining >= 2,
-        "{remaining} of three stay; one more may be asked while the new client is there"
+        "{remaining} of three stay open; one more may be asked to close while the new client is connected"
     );
 }
 
 #[tokio::test(start_paused = true)]
 async fn idle_clients_in_all_slots_keep_no_new_client_waiting_during_a_shutdown() {
-    let (first, surroundings) = connected().await;
+    let (first, harness) = connected().await;
     let address = first.peer_addr().unwrap();
     let mut idle_clients = take_all_slots(first).await;
     for client in &mut idle_clients {
         client.write_all(PING).await.unwrap();
         client.read_exact(&mut [0; 7]).await.unwrap();
     }
-    // The kernel has accepted these, the router has not.
+    // The kernel has established these connections, but the router has not accepted them.
     let mut new_clients = Vec::new();
     for _ in 0..3 {
         let mut client = TcpStream::connect(address).await.unwrap();
         client.write_all(PING).await.unwrap();
         new_clients.push(client);
     }
-    surroundings
-        .lifecycle
-        .send(LifecyclePhase::Draining)
-        .unwrap();
+    harness.lifecycle.send(LifecyclePhase::Draining).unwrap();
     let since = Instant::now();
     for client in &mut new_clients {
         let mut answer = [0; 7];
         client
             .read_exact(&mut answer)
             .await
-            .expect("it is accepted and answered");
+            .expect("the connection is accepted and answered");
         assert_eq!(&answer, b"+PONG\r\n");
     }
     assert!(
@@ -171,19 +156,13 @@
 #[tokio::test(start_paused = true)]
 async fn a_client_that_never_stops_sending_has_its_last_reply_and_an_orderly_close_when_the_time_is_up()
  {
-    let (mut client, mut surroundings) = connected().await;
+    let (mut client, mut harness) = connected().await;
     client.write_all(&[get(1), get(2)].concat()).await.unwrap();
-    let first = surroundings.next_requests(2).await;
-    surroundings
-        .lifecycle
-        .send(LifecyclePhase::Draining)
-        .unwrap();
+    let first = harness.next_requests(2).await;
+    harness.lifecycle.send(LifecyclePhase::Draining).unwrap();
     client.write_all(&get(3)).await.unwrap();
-    let third = surroundings.next_requests(1).await;
-    surroundings
-        .lifecycle
-        .send(LifecyclePhase::Closing)
-        .unwrap();
+    let third = harness.next_requests(1).await;
+    harness.lifecycle.send(LifecyclePhase::Closing).unwrap();
     tokio::time::sleep(Duration::from_millis(5)).await;
     client.write_all(&get(4)).await.unwrap();
     tokio::time::sleep(Duration::from_millis(5)).await;
@@ -194,31 +173,28 @@
     client
         .read_to_end(&mut received)
         .await
-        .expect("an end, not a reset");
+        .expect("the connection ends without a reset");
     assert_eq!(
         received,
         [&VALUE_REPLY.repeat(3), BUSY_REPLY].concat(),
-        "and the fourth was never accepted"
+        "the fourth request is rejected without being accepted"
     );
-    assert!(surroundings.events.try_recv().is_err());
+    assert!(harness.events.try_recv().is_err());
 }
 
-/// Requests that are served, and behind them two and a half that are not.
-fn requests_and_a_half(served: usize) -> Vec<u8> {
+/// A number of requests that are served, followed by two complete requests and an incomplete one that are not.
+fn requests_and_incomplete_command(served: usize) -> Vec<u8> {
     let all = (0..served + 2).flat_map(get);
     all.chain(get(99).into_iter().take(20)).collect()
 }
 
 #[tokio::test(start_paused = true)]
 async fn requests_that_were_read_and_not_accepted_when_the_time_is_up_are_rejected_in_order() {
-    let (mut client, mut surroundings) = connected().await;
-    let bytes = requests_and_a_half(MAX_PIPELINED);
+    let (mut client, mut harness) = connected().await;
+    let bytes = requests_and_incomplete_command(MAX_PIPELINED);
     client.write_all(&bytes).await.unwrap();
-    let requests = surroundings.next_requests(MAX_PIPELINED).await;
-    surroundings
-        .lifecycle
-        .send(LifecyclePhase::Closing)
-        .unwrap();
+    let requests = harness.next_requests(MAX_PIPELINED).await;
+    harness.lifecycle.send(LifecyclePhase::Closing).unwrap();
     for request in &requests {
         reply(request, VALUE_REPLY).await;
     }
@@ -228,54 +204,54 @@
     assert_eq!(
         String::from_utf8(received),
         String::from_utf8(expected),
-        "the half one too, as its rest may be on the way"
+        "the incomplete request is rejected too, as its rest may be in transit"
     );
-    assert!(surroundings.events.try_recv().is_err());
+    assert!(harness.events.try_recv().is_err());
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_request_that_the_kernel_received_before_the_time_is_up_is_answered_on_a_new_connection()
 {
-    let (client, mut surroundings) = connected().await;
+    let (client, mut harness) = connected().await;
     tokio::task::yield_now().await;
-    // At one moment, before the connection reads.
+    // The request is written and the phase changed before the connection's task reads.
     let client = client.into_std().unwrap();
     std::io::Write::write_all(&mut &client, &get(1)).unwrap();
-    surroundings
-        .lifecycle
-        .send(LifecyclePhase::Closing)
-        .unwrap();
+    harness.lifecycle.send(LifecyclePhase::Closing).unwrap();
     let mut received = Vec::new();
     let mut client = TcpStream::from_std(client).unwrap();
     client.read_to_end(&mut received).await.unwrap();
     assert_eq!(received, BUSY_REPLY);
-    assert!(surroundings.events.try_recv().is_err());
+    assert!(harness.events.try_recv().is_err());
 }
 
 #[tokio::test(start_paused = true)]
 async fn all_requests_of_a_client_that_is_rejected_for_want_of_a_place_are_answered() {
-    let (first, mut surroundings) = connected().await;
+    let (first, mut harness) = connected().await;
     let mut clients = take_all_slots(first).await;
     for client in &mut clients[..3] {
         client.write_all(&get(1)).await.unwrap();
-        surroundings.next_requests(1).await;
+        harness.next_requests(1).await;
     }
-    clients[3].write_all(&requests_and_a_half(0)).await.unwrap();
+    clients[3]
+        .write_all(&requests_and_incomplete_command(0))
+        .await
+        .unwrap();
     let mut received = Vec::new();
     clients[3].read_to_end(&mut received).await.unwrap();
     assert_eq!(
         String::from_utf8(received),
         String::from_utf8(BUSY_REPLY.repeat(3))
     );
-    assert!(surroundings.events.try_recv().is_err());
+    assert!(harness.events.try_recv().is_err());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_before_bytes_that_are_no_command_has_its_answer() {
-    let (mut client, mut surroundings) = connected().await;
+async fn a_request_before_invalid_input_is_answered() {
+    let (mut client, mut harness) = connected().await;
     let bytes = [&get(1)[..], b"rubbish\r\n", &get(2)].concat();
     client.write_all(&bytes).await.unwrap();
-    let request = surroundings.next_requests(1).await.remove(0);
+    let request = harness.next_requests(1).await.remove(0);
     tokio::time::sleep(Duration::from_secs(5)).await;
     reply(&request, VALUE_REPLY).await;
     let mut received = Vec::new();
--- a/crates/cache-router/tests/client_connection/failing_calls.rs
+++ b/crates/cache-router/tests/client_connection/failing_calls.rs
@@ -1,4 +1,4 @@
-//! Calls on a client's socket that fail for want of something on this machine, are interrupted, or lose the connection.
+//! System calls on a client's socket that fail for lack of local resources, or because the connection is lost.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -15,10 +15,10 @@
 
 use crate::support::{PING, VALUE_REPLY};
 
-/// What this machine may lack for a moment.
+/// Errors that mean a temporary lack of resources on this machine.
 const LOCAL_ERRORS: [i32; 2] = [libc::ENOBUFS, libc::ENOMEM];
 
-/// The results of calls, in their order; later ones would block.
+/// The results of calls, in order. Further calls fail with `EAGAIN`.
 struct Script(RefCell<VecDeque<Result<usize, i32>>>);
 
 impl Script {
@@ -33,7 +33,7 @@
     }
 }
 
-/// Reads what comes; the script gives how many bytes of a `PING` each call brings.
+/// Reads input. The script says how many bytes of a `PING` command each call returns.
 fn read(input: &mut ClientInput, script: &Script) -> Result<(), Disconnected> {
     let try_read = |buffer: &mut BytesMut| {
         let count = script.next()?;
@@ -45,7 +45,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_read_that_this_machine_fails_is_made_again_after_a_pause_and_loses_no_byte() {
+async fn a_read_that_fails_for_lack_of_local_resources_is_retried_after_a_pause_and_loses_no_byte()
+{
     for errno in LOCAL_ERRORS {
         let script = Script::new([Ok(5), Err(errno), Ok(PING.len() - 5)]);
         let mut input = ClientInput::default();
@@ -56,12 +57,13 @@
         tokio::time::sleep(LOCAL_RETRY_PAUSE).await;
         assert_eq!(read(&mut input, &script), Ok(()));
         assert!(!input.failures().is_paused());
-        assert_eq!(input.take_command().unwrap().unwrap().words[0], "PING");
+        assert_eq!(input.take_command().unwrap().unwrap().arguments[0], "PING");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_write_that_this_machine_fails_is_made_again_after_a_pause_and_loses_no_byte() {
+async fn a_write_that_fails_for_lack_of_local_resources_is_retried_after_a_pause_and_loses_no_byte()
+{
     for errno in LOCAL_ERRORS {
         let mut replies = ReplyQueue::default();
         replies.push_ready(VALUE_REPLY);
@@ -76,7 +78,11 @@
         };
         assert_eq!(output.write(try_write), Ok(true));
         assert_eq!(output.write(try_write), Ok(false), "{errno}");
-        assert_eq!(output.write(try_write), Ok(false), "it waits");
+        assert_eq!(
+            output.write(try_write),
+            Ok(false),
+            "the retry is not due yet"
+        );
         tokio::time::sleep(LOCAL_RETRY_PAUSE).await;
         assert_eq!(output.write(try_write), Ok(true));
         assert_eq!(written.take(), VALUE_REPLY);
@@ -84,7 +90,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_failure_of_this_machine_ends_the_client_only_when_it_lasts() {
+async fn local_failures_disconnect_the_client_only_after_the_timeout() {
     let script = Script::new(std::iter::repeat_n(Err(libc::ENOBUFS), 10_000));
     let mut input = ClientInput::default();
     let mut lasted = Duration::ZERO;
@@ -93,9 +99,9 @@
         lasted += LOCAL_RETRY_PAUSE;
     }
     assert!(lasted >= LOCAL_FAILURE_TIMEOUT && lasted < LOCAL_FAILURE_TIMEOUT * 2);
-    // One that has succeeded in between is a new one.
-    let once_a_while = (0..1_000).flat_map(|_| [Err(libc::ENOBUFS), Ok(1)]);
-    let script = Script::new(once_a_while);
+    // A successful call in between starts the timeout anew.
+    let alternating = (0..1_000).flat_map(|_| [Err(libc::ENOBUFS), Ok(1)]);
+    let script = Script::new(alternating);
     let mut input = ClientInput::default();
     for _ in 0..500 {
         assert_eq!(read(&mut input, &script), Ok(()));
@@ -104,7 +110,7 @@
 }
 
 #[test]
-fn a_lost_connection_ends_the_client_at_once() {
+fn a_lost_connection_disconnects_the_client_at_once() {
     for errno in [libc::ECONNRESET, libc::EPIPE, libc::ETIMEDOUT, libc::EBADF] {
         let script = Script::new([Err(errno)]);
         let read = read(&mut ClientInput::default(), &script);
--- a/crates/cache-router/tests/client_connection/main.rs
+++ b/crates/cache-router/tests/client_connection/main.rs
@@ -1,4 +1,4 @@
-//! Connections of clients and the listener, driven by hand in paused time.
+//! Client connections and the listener, tested over real sockets with tokio's clock paused.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
--- a/crates/cache-router/tests/client_connection/requests.rs
+++ b/crates/cache-router/tests/client_connection/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: when their time begins, in what pieces they come, and clients that take no replies.
+//! Arrival times of requests, requests received in pieces, and clients that do not read their replies.
 
 use std::time::Duration;
 
@@ -15,34 +15,34 @@
 
 #[tokio::test(start_paused = true)]
 async fn the_time_of_a_request_that_waits_for_a_slot_counts_from_its_arrival() {
-    let (mut client, mut surroundings) = connected().await;
+    let (mut client, mut harness) = connected().await;
     client
         .write_all(&(0..=MAX_PIPELINED).flat_map(get).collect::<Vec<_>>())
         .await
         .unwrap();
-    let first = surroundings.next_requests(16).await;
+    let first = harness.next_requests(16).await;
     for _ in 0..100 {
         tokio::task::yield_now().await;
     }
-    let came = surroundings.context.clock.now();
-    let remaining = surroundings.next_requests(MAX_PIPELINED - 16).await;
-    // In real time, which the router's clock counts in.
-    while surroundings.context.clock.now() < came + 50_000 {
+    let arrived_at = harness.context.clock.now();
+    let remaining = harness.next_requests(MAX_PIPELINED - 16).await;
+    // Waits in real time, which the router's clock measures.
+    while harness.context.clock.now() < arrived_at + 50_000 {
         tokio::task::yield_now().await;
     }
     for request in first.iter().chain(&remaining) {
         reply(request, VALUE_REPLY).await;
     }
-    let last = surroundings.next_requests(1).await.remove(0);
+    let last = harness.next_requests(1).await.remove(0);
     assert!(
-        last.received_at <= came,
-        "{} us after it came",
-        last.received_at - came
+        last.received_at <= arrived_at,
+        "{} us after it arrived",
+        last.received_at - arrived_at
     );
 }
 
 #[test]
-fn requests_that_are_read_ahead_one_by_one_keep_the_time_of_their_arrival() {
+fn requests_read_ahead_one_by_one_keep_their_arrival_times() {
     let mut arrival_times = ArrivalTimes::default();
     for number in 0..1_000 {
         arrival_times.add(60, number * 2_000);
@@ -54,16 +54,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_in_pieces_is_served_although_a_shutdown_begins_between_two_of_them() {
+async fn a_request_received_in_pieces_is_served_although_a_shutdown_begins_between_them() {
     for cut in 1..get(1).len() {
-        let (mut client, mut surroundings) = connected().await;
+        let (mut client, mut harness) = connected().await;
         client.write_all(PING).await.unwrap();
         client.read_exact(&mut [0; 7]).await.unwrap();
         client.write_all(&get(1)[..cut]).await.unwrap();
-        surroundings
-            .lifecycle
-            .send(LifecyclePhase::Draining)
-            .unwrap();
+        harness.lifecycle.send(LifecyclePhase::Draining).unwrap();
         for byte in &get(1)[cut..] {
             tokio::time::sleep(Duration::from_millis(5)).await;
             client
@@ -71,7 +68,7 @@
                 .await
                 .unwrap_or_else(|e| panic!("cut at {cut}: {e}"));
         }
-        let request = surroundings.next_requests(1).await.remove(0);
+        let request = harness.next_requests(1).await.remove(0);
         reply(&request, VALUE_REPLY).await;
         let mut received = Vec::new();
         client.read_to_end(&mut received).await.unwrap();
@@ -80,27 +77,27 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn each_of_many_more_requests_than_are_read_ahead_has_one_reply() {
+async fn each_request_beyond_the_read_ahead_limit_has_exactly_one_reply() {
     const REQUESTS: usize = 10_000;
-    let (client, mut surroundings) = connected().await;
+    let (client, mut harness) = connected().await;
     let (mut reader, mut writer) = client.into_split();
     let sender = tokio::spawn(async move {
         let all: Vec<u8> = (0..REQUESTS).flat_map(get).collect();
         writer.write_all(&all).await.unwrap();
         writer
     });
-    let first = surroundings.next_requests(MAX_PIPELINED).await;
+    let first = harness.next_requests(MAX_PIPELINED).await;
     let _writer = sender.await.unwrap();
     for request in &first {
         reply(request, VALUE_REPLY).await;
     }
-    let answers_rest = async {
+    let answer_rest = async {
         loop {
-            let request = surroundings.next_requests(1).await.remove(0);
+            let request = harness.next_requests(1).await.remove(0);
             reply(&request, VALUE_REPLY).await;
         }
     };
-    let counts_replies = async {
+    let count_replies = async {
         let mut received = Vec::new();
         while received
             .iter()
@@ -113,20 +110,20 @@
         String::from_utf8(received).unwrap()
     };
     let received = tokio::select! {
-        received = counts_replies => received,
-        () = answers_rest => unreachable!("it never ends"),
+        received = count_replies => received,
+        () = answer_rest => unreachable!("the loop never ends"),
     };
     let served = received.matches("$1\r\nv\r\n").count();
     let rejected = received.matches("-BUSY\r\n").count();
     assert_eq!(served + rejected, REQUESTS);
     assert!(
         served > MAX_PIPELINED && rejected > 0,
-        "{served} and {rejected}"
+        "{served} served, {rejected} rejected"
     );
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_client_has_its_whole_time_to_take_a_reply_that_comes_long_after_the_one_before() {
+async fn the_stall_timeout_of_a_reply_starts_when_the_reply_is_queued_for_output() {
     let mut replies = ReplyQueue::default();
     let mut output = ClientOutput::default();
     tokio::time::sleep(OUTPUT_STALL_TIMEOUT * 2).await;
@@ -134,20 +131,23 @@
     output.take_ready(&mut replies);
     let would_block = |_: &[u8]| Err(std::io::ErrorKind::WouldBlock.into());
     assert!(matches!(output.write(would_block), Ok(false)));
-    assert_eq!(output.stalled_at(), Instant::now() + OUTPUT_STALL_TIMEOUT);
-    // More replies are no progress.
+    assert_eq!(
+        output.stall_deadline(),
+        Instant::now() + OUTPUT_STALL_TIMEOUT
+    );
+    // Further replies do not extend the deadline.
     tokio::time::sleep(OUTPUT_STALL_TIMEOUT).await;
     replies.push_ready(VALUE_REPLY);
     output.take_ready(&mut replies);
-    assert_eq!(output.stalled_at(), Instant::now());
+    assert_eq!(output.stall_deadline(), Instant::now());
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_client_that_takes_no_replies_is_cut_off_although_it_goes_on_sending() {
-    let (client, mut surroundings) = connected().await;
+    let (client, mut harness) = connected().await;
     let (_reader, mut writer) = client.into_split();
     writer.write_all(&get(1)).await.unwrap();
-    let request = surroundings.next_requests(1).await.remove(0);
+    let request = harness.next_requests(1).await.remove(0);
     let value = Bytes::from(vec![b'v'; 32 * 1024 * 1024]);
     reply(&request, value).await;
     let since = Instant::now();
@@ -156,7 +156,7 @@
             tokio::time::sleep(Duration::from_secs(1)).await;
         }
     });
-    surroundings.until_disconnected().await;
+    harness.wait_for_disconnect().await;
     assert!(
         since.elapsed() <= OUTPUT_STALL_TIMEOUT + Duration::from_secs(2),
         "after {:?}",
--- a/crates/cache-router/tests/client_connection/support.rs
+++ b/crates/cache-router/tests/client_connection/support.rs
@@ -1,4 +1,4 @@
-//! What the tests share: a connection with its surroundings, and what a client sends and receives.
+//! Shared test support: a connection with its harness, and the bytes that a client sends and receives.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,20 +22,20 @@
 /// A reply that rejects a request.
 pub const BUSY_REPLY: &[u8] = b"-BUSY\r\n";
 
-/// What surrounds the connections of a test: their events, what they share, and the phase of the lifecycle.
-pub struct Surroundings {
+/// The environment of a test's connections: their events, their shared context and the phase of the lifecycle.
+pub struct Harness {
     pub events: mpsc::Receiver<RouterEvent>,
     pub context: Arc<ClientContext>,
     pub lifecycle: watch::Sender<LifecyclePhase>,
 }
 
-impl Surroundings {
+impl Harness {
     /// Waits for the report that the client disconnected. Returns how many requests came before it.
-    pub async fn until_disconnected(&mut self) -> usize {
+    pub async fn wait_for_disconnect(&mut self) -> usize {
         let mut request_count = 0;
         loop {
             let input = tokio::time::timeout(Duration::from_secs(60), self.events.recv()).await;
-            match input.expect("a report of the disconnect") {
+            match input.expect("the disconnect is reported") {
                 Some(RouterEvent::ClientRequest(_)) => request_count += 1,
                 Some(RouterEvent::ClientDisconnected(_)) => return request_count,
                 other => panic!("{other:?}"),
@@ -50,20 +50,20 @@
             let input = tokio::time::timeout(Duration::from_secs(60), self.events.recv()).await;
             match input.expect("a request") {
                 Some(RouterEvent::ClientRequest(request)) => requests.push(request),
-                other => panic!("{other:?} and no request"),
+                other => panic!("expected a request, got {other:?}"),
             }
         }
         requests
     }
 }
 
-/// A client that is connected to a listener of its own, which has four slots.
-pub async fn connected() -> (TcpStream, Surroundings) {
+/// Connects a client to a new listener with four slots.
+pub async fn connected() -> (TcpStream, Harness) {
     connected_with_slots(4).await
 }
 
-/// The same with a number of slots.
-pub async fn connected_with_slots(slots: usize) -> (TcpStream, Surroundings) {
+/// As [`connected`], with a given number of slots.
+pub async fn connected_with_slots(slots: usize) -> (TcpStream, Harness) {
     let (event_sender, events) = mpsc::channel(16);
     let (lifecycle_sender, lifecycle) = watch::channel(LifecyclePhase::Ready);
     let deployment = routing_policy::settings::read(br#"{"classes":[{"name":"read"}]}"#).unwrap();
@@ -81,11 +81,11 @@
     let address = listener.local_addr().unwrap();
     tokio::spawn(listen(listener, context.clone()));
     let stream = TcpStream::connect(address).await.unwrap();
-    // What the kernel holds back would come in real time, which does not pass here.
+    // The delay of Nagle's algorithm passes in real time, for which these tests do not wait.
     stream.set_nodelay(true).unwrap();
     (
         stream,
-        Surroundings {
+        Harness {
             events,
             context,
             lifecycle: lifecycle_sender,
@@ -93,17 +93,17 @@
     )
 }
 
-/// How long until the router closes a connection.
+/// Waits until the router closes a connection. Returns how long that took.
 pub async fn closed_after(stream: &mut TcpStream) -> Duration {
-    let (since, mut sink) = (Instant::now(), [0; 256]);
-    let end = async { while matches!(stream.read(&mut sink).await, Ok(count) if count > 0) {} };
+    let (since, mut buffer) = (Instant::now(), [0; 256]);
+    let end = async { while matches!(stream.read(&mut buffer).await, Ok(count) if count > 0) {} };
     tokio::time::timeout(Duration::from_secs(60), end)
         .await
-        .expect("it is closed");
+        .expect("the router closes the connection");
     since.elapsed()
 }
 
-/// The first client and as many more as take all slots.
+/// Connects more clients until all four slots are taken. Returns them together with the first one.
 pub async fn take_all_slots(first: TcpStream) -> Vec<TcpStream> {
     let address = first.peer_addr().unwrap();
     let mut clients = vec![first];
@@ -113,7 +113,7 @@
     clients
 }
 
-/// Answers a request as the event loop would.
+/// Sends the reply to a request, as the event loop does.
 pub async fn reply(request: &ClientRequest, bytes: impl Into<Bytes>) {
     let reply = ClientReply {
         sequence: request.sequence,
--- a/crates/cache-router/tests/idle_connections.rs
+++ b/crates/cache-router/tests/idle_connections.rs
@@ -1,4 +1,4 @@
-//! Which idle connection is asked to close, and which is not.
+//! Which idle connections are asked to close.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -22,18 +22,18 @@
 #[test]
 fn a_request_for_a_place_goes_to_whoever_is_idle_first_and_ends_with_the_new_clients_wait() {
     let connections = Arc::new(IdleConnections::default());
-    // None is idle: the next that becomes idle is asked, once.
-    connections.ask_one_or_next_to_close();
+    // No connection is idle: only the next one that becomes idle is asked.
+    connections.request_close_now_or_next();
     let mut first = connections.register();
     let mut second = connections.register();
     assert!(is_asked_to_close(&mut first) && !is_asked_to_close(&mut second));
-    // Asked, and busy again at that moment: the close request goes to the next.
+    // The first is busy again although it was asked: the close request goes to the second.
     drop(first);
     assert!(is_asked_to_close(&mut second));
     second.close();
-    // A new client that has its place leaves no close request behind.
-    connections.ask_one_or_next_to_close();
-    connections.cancel_ask_next();
+    // Once the new client has a slot, no close request remains.
+    connections.request_close_now_or_next();
+    connections.cancel_close_of_next();
     assert!(!is_asked_to_close(&mut connections.register()));
-    assert!(!connections.ask_one_to_close(), "none is left behind");
+    assert!(!connections.request_close(), "no connection is idle");
 }
--- a/crates/cache-router/tests/listener.rs
+++ b/crates/cache-router/tests/listener.rs
@@ -1,4 +1,4 @@
-//! The listener, whose calls of accept(2) fail as a script says.
+//! The listener, with scripted failures of accept(2).
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -19,16 +19,16 @@
 use tokio::sync::{Semaphore, mpsc, watch};
 use tokio::time::Instant;
 
-/// Slots for clients in all.
+/// The total number of client slots.
 const SLOTS: usize = 8;
 
-/// What a call of accept(2) comes to.
+/// The result of a call of accept(2).
 enum Accepted {
     Connection(TcpStream),
     Failure(i32),
 }
 
-/// Connections and failures in the order in which they come, and nothing after them.
+/// The results of accept(2) in order. Further calls wait forever.
 struct Script(Mutex<std::vec::IntoIter<Accepted>>);
 
 impl ConnectionSource for Script {
@@ -67,7 +67,7 @@
     (Arc::new(context), phase_sender)
 }
 
-/// How long it takes until a connection behind some failures is accepted.
+/// Returns how long it takes until a connection is accepted after a series of failures.
 async fn accepted_after(phase: LifecyclePhase, failures: Vec<i32>) -> Duration {
     let (_client, server) = connection().await;
     let mut script: Vec<_> = failures.into_iter().map(Accepted::Failure).collect();
@@ -77,7 +77,10 @@
     let since = Instant::now();
     let listening = tokio::spawn(listen(listener, context.clone()));
     while context.connection_slots.available_permits() == SLOTS {
-        assert!(!listening.is_finished(), "the listener has ended too early");
+        assert!(
+            !listening.is_finished(),
+            "the listener ended before it accepted the connection"
+        );
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     listening.abort();
@@ -87,7 +90,7 @@
 const PHASES: [LifecyclePhase; 2] = [LifecyclePhase::Ready, LifecyclePhase::Draining];
 
 #[tokio::test(start_paused = true)]
-async fn the_connection_behind_one_that_has_failed_is_accepted_at_once() {
+async fn the_connection_after_a_failed_one_is_accepted_at_once() {
     for phase in PHASES {
         let failures = vec![libc::ECONNABORTED, libc::EINTR, libc::EPROTO];
         let waited = accepted_after(phase, failures).await;
@@ -96,7 +99,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_connection_that_the_kernel_holds_while_descriptors_lack_is_accepted_soon_after() {
+async fn a_queued_connection_is_accepted_soon_after_descriptors_were_exhausted() {
     for phase in PHASES {
         let waited = accepted_after(phase, vec![libc::EMFILE; 4]).await;
         let allowed = Duration::from_millis(4)..=Duration::from_millis(40);
--- a/crates/cache-router/tests/socket/connect.rs
+++ b/crates/cache-router/tests/socket/connect.rs
@@ -1,4 +1,4 @@
-//! Opening a connection while this machine lacks something, and while the peer is to blame.
+//! Opening connections: failures for lack of local resources, and failures of the peer.
 
 use std::cell::Cell;
 use std::future;
@@ -10,7 +10,8 @@
 
 const TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Opens a connection with calls that fail with an errno for so often, and then succeed.
+/// Opens a connection with calls of which the first `failures` fail with `errno` and later ones succeed. Returns the
+/// result, the number of reported failures and the elapsed time.
 async fn connect_after_failures(
     errno: i32,
     failures: u32,
@@ -33,7 +34,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_this_machine_lacks_for_a_moment_is_waited_for_and_reported() {
+async fn a_temporary_lack_of_local_resources_is_retried_and_reported() {
     for errno in [
         libc::ENFILE,
         libc::EMFILE,
@@ -49,14 +50,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_this_machine_lacks_until_the_deadline_is_not_blamed_on_the_peer() {
+async fn a_lack_of_local_resources_until_the_deadline_is_not_attributed_to_the_peer() {
     let (connected, _, elapsed) = connect_after_failures(libc::ENFILE, u32::MAX).await;
     assert!(matches!(connected, Err(ConnectError::Local(_))));
     assert!(elapsed <= TIMEOUT);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_refused_connection_is_not_tried_again() {
+async fn a_refused_connection_is_not_retried() {
     for errno in [libc::ECONNREFUSED, libc::EHOSTUNREACH, libc::EINVAL] {
         let (connected, reported, elapsed) = connect_after_failures(errno, 1).await;
         assert!(matches!(connected, Err(ConnectError::Peer(_))));
@@ -65,7 +66,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_silent_peer_is_given_up_at_the_deadline() {
+async fn a_silent_peer_times_out_at_the_deadline() {
     let started_at = Instant::now();
     let silent = || future::pending::<io::Result<()>>();
     let connected = connect_with(silent, started_at + TIMEOUT, || {}).await;
--- a/crates/cache-router/tests/socket/errors.rs
+++ b/crates/cache-router/tests/socket/errors.rs
@@ -1,4 +1,4 @@
-//! The table of errors: each row gives a meaning that an unlisted error does not have.
+//! The table of socket errors: each row differs from the default meaning of unlisted errors.
 
 use std::io;
 
@@ -16,12 +16,12 @@
 }
 
 #[test]
-fn an_interrupted_call_is_made_again_at_once() {
+fn an_interrupted_call_is_retried_at_once() {
     assert_meaning(&[libc::EINTR], RetryNow);
 }
 
 #[test]
-fn what_this_machine_lacks_is_waited_for() {
+fn a_lack_of_local_resources_is_retried_after_a_pause() {
     let descriptors = [libc::EMFILE, libc::ENFILE, libc::ENOSPC];
     let memory = [libc::EAGAIN, libc::ENOBUFS, libc::ENOMEM];
     let network = [
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_call_that_cannot_succeed_is_a_fault_of_the_program() {
+fn a_call_that_cannot_succeed_is_a_program_fault() {
     let errnos = [
         libc::EBADF,
         libc::EFAULT,
@@ -62,6 +62,6 @@
         libc::EIO,
     ];
     assert_meaning(&errnos, ConnectionLost);
-    let made_by_a_library = io::Error::from(io::ErrorKind::UnexpectedEof);
-    assert_eq!(classify(&made_by_a_library), ConnectionLost);
+    let library_error = io::Error::from(io::ErrorKind::UnexpectedEof);
+    assert_eq!(classify(&library_error), ConnectionLost);
 }
--- a/crates/cache-router/tests/socket/listen.rs
+++ b/crates/cache-router/tests/socket/listen.rs
@@ -1,11 +1,11 @@
-//! Failures of a socket that listens: each listed error means something that an unlisted one does not.
+//! Failures of listening sockets: each listed error is handled differently from an unlisted one.
 
 use std::io;
 
 use cache_router::socket::errors::ErrorMeaning;
 use cache_router::socket::listen::{AcceptRetry, classify_accept, may_pass, remedy};
 
-/// Listed nowhere.
+/// An error that no table lists.
 const UNLISTED: i32 = libc::ECHILD;
 
 fn error(errno: i32) -> io::Error {
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn an_error_of_one_connection_lets_the_next_be_accepted_at_once_and_all_others_wait() {
+fn an_error_of_one_connection_is_retried_at_once_and_all_others_after_a_pause() {
     let one_connection = [
         libc::EINTR,
         libc::ECONNABORTED,
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn an_error_that_comes_with_each_call_does_not_spin_and_the_first_pause_is_known() {
+fn an_error_on_every_call_does_not_spin_and_the_first_pause_is_reported() {
     let mut retry = AcceptRetry::default();
     let aborted = error(libc::ECONNABORTED);
     let failures_without_pause = (0..1_000)
@@ -56,15 +56,15 @@
     assert!(retry.is_first_pause());
     assert!(retry.pause_after(&aborted).is_some());
     assert!(!retry.is_first_pause());
-    retry.succeeded();
+    retry.record_success();
     assert!(retry.pause_after(&aborted).is_none());
     assert!(retry.pause_after(&error(libc::EMFILE)).is_some());
     assert!(retry.is_first_pause());
 }
 
 #[test]
-fn what_may_pass_is_tried_again_and_each_listed_error_has_a_remedy_of_its_own() {
-    let passing = [
+fn transient_errors_may_pass_and_have_a_specific_remedy() {
+    let transient = [
         libc::EADDRINUSE,
         libc::EADDRNOTAVAIL,
         libc::EMFILE,
@@ -80,7 +80,7 @@
         libc::ENOSYS,
     ];
     let unlisted_remedy = remedy(&error(UNLISTED));
-    for errno in passing {
+    for errno in transient {
         assert!(may_pass(&error(errno)), "{}", error(errno));
         assert_ne!(remedy(&error(errno)), unlisted_remedy);
     }
--- a/crates/cache-router/tests/socket/main.rs
+++ b/crates/cache-router/tests/socket/main.rs
@@ -1,4 +1,4 @@
-//! Sockets whose system calls are interrupted, fall short or fail.
+//! Sockets whose system calls are interrupted, transfer fewer bytes than requested, or fail.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
--- a/crates/cache-router/tests/socket/stream.rs
+++ b/crates/cache-router/tests/socket/stream.rs
@@ -1,4 +1,4 @@
-//! Reads and writes over a socket whose calls are scripted: what the kernel takes or gives, and how calls fail.
+//! Reads and writes on sockets with scripted results: how many bytes each call transfers, or how it fails.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -15,13 +15,13 @@
 /// What the next call on a [`ScriptedSocket`] does.
 #[derive(Clone, Copy)]
 enum Call {
-    /// It transfers so many bytes at most.
+    /// It transfers at most this many bytes.
     Transfer(usize),
     /// It fails with an errno.
     Fail(i32),
 }
 
-/// A socket that is always ready. Once its script is at its end, the last call of it is repeated.
+/// A socket that is always ready. After the end of the script, its last entry is repeated.
 struct ScriptedSocket {
     calls: RefCell<VecDeque<Call>>,
     input: RefCell<VecDeque<u8>>,
@@ -37,7 +37,7 @@
         })
     }
 
-    /// How many bytes the next call may transfer.
+    /// Takes the next script entry: how many bytes the call may transfer, or its error.
     fn next_call(&self) -> io::Result<usize> {
         let mut calls = self.calls.borrow_mut();
         let call = if calls.len() > 1 {
@@ -102,11 +102,11 @@
     });
     stream.write_all(b"request").await.unwrap();
     stream.shutdown().await.unwrap();
-    assert_eq!(started_at.elapsed().as_millis(), 0, "without a pause");
+    assert_eq!(started_at.elapsed().as_millis(), 0, "no pause was made");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_momentary_lack_of_memory_is_waited_for() {
+async fn a_temporary_lack_of_memory_is_retried_after_a_pause() {
     let calls = [
         Call::Fail(libc::ENOBUFS),
         Call::Fail(libc::ENOMEM),
@@ -119,7 +119,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_first_byte_of_a_write_is_not_waited_for_where_this_machine_lacks_memory() {
+async fn begin_write_does_not_retry_when_memory_is_short() {
     let calls = [
         Call::Fail(libc::EINTR),
         Call::Fail(libc::EAGAIN),
@@ -135,7 +135,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lasting_lack_of_memory_ends_the_connection() {
+async fn a_lasting_lack_of_memory_fails_the_connection() {
     let mut stream = ScriptedSocket::stream(&[Call::Fail(libc::ENOBUFS)], b"");
     let started_at = Instant::now();
     let error = stream.write_all(b"request").await.unwrap_err();
@@ -145,7 +145,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn calls_that_are_always_interrupted_do_not_spin_for_ever() {
+async fn calls_that_are_always_interrupted_do_not_spin_forever() {
     let mut stream = ScriptedSocket::stream(&[Call::Fail(libc::EINTR)], b"");
     let error = stream.read_buf(&mut BytesMut::new()).await.unwrap_err();
     assert_eq!(error.raw_os_error(), Some(libc::EINTR));
@@ -162,7 +162,7 @@
     }
 }
 
-/// A socket of the kernel of which each call transfers one byte, whatever the kernel holds.
+/// A real socket whose reads and writes transfer at most one byte per call, even if the kernel has more.
 struct ShortCallSocket(TcpStream);
 
 impl RawSocket for ShortCallSocket {
