--- a/crates/cache-router/src/cache_protocol.rs
+++ b/crates/cache-router/src/cache_protocol.rs
@@ -1,4 +1,4 @@
-//! The protocol of cache servers, over RESP2: the commands that the router sends and what the replies mean.
+//! The protocol of cache servers, over RESP2: encodes the commands that the router sends and interprets the replies.
 
 use bytes::{Bytes, BytesMut};
 use routing_policy::{AttemptStatus, CacheLookup, LoadReport};
@@ -6,14 +6,14 @@
 use crate::message::{ClientCommand, ProtocolError, ServerResponse};
 use crate::resp::{self, Value};
 
-/// Positions in the array that answers a read or a write.
+/// Positions in the array that a cache server returns for a read or a write.
 mod reply_element {
     pub const VALUE: usize = 0;
     pub const LOOKUP: usize = 1;
     pub const LOAD: usize = 2;
 }
 
-/// Encodes a client's command for a cache server.
+/// Encodes a client's command for a cache server, with the time that remains until its deadline.
 pub fn encode(command: &ClientCommand, remaining_ms: u64) -> Bytes {
     let fields = forwarded_fields(command, remaining_ms);
     let name: &[u8] = if command.is_write {
@@ -31,8 +31,8 @@
     }
 }
 
-/// The fields of a client's command as they are forwarded with an attempt: unchanged but for `d`, which becomes the time
-/// that remains, in milliseconds.
+/// The fields of a client's command as they are forwarded with an attempt: unchanged except for `d` (the deadline),
+/// which becomes the remaining time in milliseconds.
 pub fn forwarded_fields(command: &ClientCommand, remaining_ms: u64) -> String {
     let fields = command
         .fields
@@ -44,11 +44,11 @@
     fields.collect::<Vec<_>>().join(",")
 }
 
-/// Takes a response off the front of the bytes that a connection brought; `None` while it is incomplete.
+/// Removes a response from the front of the bytes that were received on a connection; `None` while it is incomplete.
 ///
 /// # Errors
 ///
-/// If the bytes are no reply of this protocol: what the connection brings next can't be matched to a request.
+/// If the bytes are not a reply of this protocol. What is received next can't be matched to a request.
 pub fn decode(
     buffer: &mut BytesMut,
     load_names: &[String],
@@ -56,14 +56,14 @@
     let reply = resp::take_value(buffer).map_err(|_| ProtocolError)?;
     match reply {
         None => Ok(None),
-        Some(Value::Array(elements)) => decode_lookup(&elements, load_names).map(Some),
+        Some(Value::Array(elements)) => decode_array(&elements, load_names).map(Some),
         Some(Value::Error(line)) => Ok(Some(decode_error(&line, load_names))),
         Some(_) => Err(ProtocolError),
     }
 }
 
-/// The reply to a read or a write: the value, how the lookup went, and a load report.
-fn decode_lookup(
+/// Decodes the array that answers a read or a write: the value, the result of the cache lookup, and a load report.
+fn decode_array(
     elements: &[Value],
     load_names: &[String],
 ) -> Result<ServerResponse, ProtocolError> {
@@ -81,7 +81,7 @@
     })
 }
 
-/// An element as text; empty where there is none.
+/// An element as text; empty if it is missing or not UTF-8 text.
 fn text_element(elements: &[Value], position: usize) -> &str {
     match elements.get(position) {
         Some(Value::BulkString(Some(text)) | Value::SimpleString(text)) => {
@@ -91,7 +91,7 @@
     }
 }
 
-/// An error reply: its first word tells a rejection from a failure, its last may be a load report.
+/// Decodes an error reply. The first word distinguishes a rejection from a failure; the last word may be a load report.
 fn decode_error(line: &[u8], load_names: &[String]) -> ServerResponse {
     let line = std::str::from_utf8(line).unwrap_or("");
     let status = match line.split(' ').next() {
@@ -108,7 +108,7 @@
     }
 }
 
-/// Parses a server's word for how a cache lookup went.
+/// Parses the word by which a server reports the result of a cache lookup.
 pub fn parse_lookup(word: &str) -> CacheLookup {
     match word {
         "hit" => CacheLookup::Hit,
@@ -118,8 +118,8 @@
     }
 }
 
-/// Parses a load report, `name=value,...`, into the order in which the settings name its values. A report that lacks a
-/// name counts as none.
+/// Parses a load report, `name=value,...`, into the order in which the settings name the values. A report in which a
+/// name is missing is ignored.
 pub fn parse_load(text: &str, names: &[String]) -> LoadReport {
     let mut load = LoadReport::default();
     for (position, name) in names.iter().take(load.values.len()).enumerate() {
--- a/crates/cache-router/src/connection_pool.rs
+++ b/crates/cache-router/src/connection_pool.rs
@@ -1,8 +1,9 @@
-//! The connections to cache servers and the origin, and the attempts that wait for one.
+//! The pool of connections to cache servers and the origin, and the queues of attempts that wait for a connection.
 //!
-//! The pool belongs to the event loop and does no I/O itself: each connection is a task of its own
-//! ([`server_connection`]), which ends when the pool drops it. The pool bounds their number, knows what each one is
-//! doing, and hands them to attempts in order. What an event on a connection means for an attempt is the event loop's.
+//! The event loop owns the pool. The pool does no I/O itself: each connection runs in a task of its own
+//! ([`server_connection`]), which is aborted when the pool drops the connection. The pool limits the number of
+//! connections, tracks the state of each, and assigns them to waiting attempts in order. The event loop decides what an
+//! event on a connection means for an attempt.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -22,26 +23,27 @@
 use crate::write_progress::SharedWriteProgress;
 pub use crate::write_progress::WriteProgress;
 
-/// A request that is not written this long (microseconds) after the decision to is confirmed first: the event loop
-/// knows of a client that left, or of a server that drains, within half of the 100 ms that the operators allow for it.
+/// A request that is not written within this time (microseconds) of the decision to send it has to be confirmed by the
+/// event loop first. The operators allow 100 ms to react to a client's disconnect or a server's drain; the event loop
+/// learns of either within half of that time.
 const CONFIRM_AFTER: Micros = 50_000;
-/// The shortest time-out for connecting, in microseconds, whatever the settings say: less is no time at all.
+/// The shortest connect timeout, in microseconds, whatever the settings say: a shorter one leaves no time to connect.
 const MIN_CONNECT_TIMEOUT: Micros = 1_000;
-/// Idle connections are kept to this number, those used last: before a fleet of hundreds of servers most that have
-/// been idle for long are closed by the time-out before they are used again, and each takes a descriptor here and a
-/// place at its server.
+/// The maximum number of idle connections; the most recently used ones are kept. With a fleet of hundreds of servers,
+/// most connections that have been idle for long reach the idle timeout before they are used again. Each takes a file
+/// descriptor here and a connection slot at its server.
 pub const MAX_IDLE_CONNECTIONS: usize = 96;
 
-/// What a connection is doing.
+/// The state of a connection.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ConnectionState {
-    /// It is being established, since this time.
+    /// Being established since this time.
     Connecting(Micros),
-    /// It carries this attempt.
+    /// In use by this attempt.
     Busy(AttemptId),
-    /// The attempt that it carried was given up, and its response may still come; when that attempt was sent.
+    /// The attempt that used it was given up, and the response may still arrive. The time is when the attempt was sent.
     Abandoned(Micros),
-    /// It carries nothing, since this time.
+    /// Not in use since this time.
     Idle(Micros),
 }
 
@@ -50,21 +52,21 @@
     address: SocketAddr,
     handle: ServerConnectionHandle,
     state: ConnectionState,
-    /// How many requests it has been given.
+    /// How many requests have been handed to it.
     request_count: u64,
-    /// How far the request is written that it was given last.
+    /// The write progress of the last request that was handed to it.
     progress: Arc<SharedWriteProgress>,
 }
 
-/// The connections of a server that are not busy, and the attempts that wait for one.
+/// The idle and connecting connections of a server, and the attempts that wait for one.
 #[derive(Default)]
 struct ServerQueue {
-    /// Idle connections, the one used last at the end.
+    /// Idle connections, the most recently used one last.
     idle: Vec<ConnectionId>,
     /// Connections that are being established, oldest first.
     connecting: VecDeque<ConnectionId>,
-    /// Attempts that wait for a connection, oldest first: each takes the first that is established or becomes free,
-    /// since the one that was opened for it may be the last to come.
+    /// Attempts that wait for a connection, oldest first. The oldest takes the first connection that is established or
+    /// becomes free, since the connection that was opened for it may be the last one to be established.
     waiting: VecDeque<AttemptId>,
 }
 
@@ -79,30 +81,32 @@
     connections: HashMap<ConnectionId, PooledConnection>,
     queues: HashMap<ServerId, ServerQueue>,
     next_id: ConnectionId,
-    /// The most connections.
+    /// The maximum number of connections.
     limit: usize,
-    /// An idle connection is closed after this, in microseconds.
+    /// An idle connection is closed after this time, in microseconds.
     idle_timeout: Micros,
-    /// A connection is expected to be established within this, in microseconds.
+    /// A connection is expected to be established within this time, in microseconds; after it the connection is
+    /// overdue.
     expected_connect_time: Micros,
-    /// One that is overdue may still come within this.
+    /// Connecting fails after this time. An overdue connection may still be established until then.
     connect_timeout: Duration,
     context: ServerConnectionContext,
 }
 
 impl ConnectionPool {
-    /// A pool of at most `limit` connections.
+    /// Creates an empty pool of at most `limit` connections.
     pub fn new(
         limit: usize,
         deployment: Arc<Deployment>,
         clock: Clock,
         events: mpsc::Sender<RouterEvent>,
     ) -> Self {
-        // Four fifths: before the server closes it, as a request written to a closed connection ends as a reset, which
-        // may have run and so may not be retried. Not long before: one of many routers meets a server every few seconds.
+        // Four fifths of the time after which the server closes an idle connection. A request that is written to a
+        // closed connection ends in a reset: it may have run, and so may not be retried. The timeout is not much
+        // shorter: with many routers, each of them uses a given server only every few seconds.
         let idle_timeout = deployment.idle_close / 5 * 4;
         let expected_connect_time = deployment.connect_timeout.max(MIN_CONNECT_TIMEOUT);
-        // A connection that is established later than any request waits is of use to none that is known yet.
+        // A connection that takes longer than the longest request deadline can serve no request that is waiting now.
         let longest_deadline = deployment
             .settings
             .classes
@@ -127,9 +131,9 @@
         }
     }
 
-    // Opening and closing.
+    // Opening and closing connections.
 
-    /// Begins to open a connection; `false` if there are too many.
+    /// Starts to open a connection; `false` if the limit is reached and no connection can be evicted.
     pub fn open(&mut self, target: ServerTarget, now: Micros) -> bool {
         if self.connections.len() >= self.limit {
             self.evict_one(now);
@@ -174,7 +178,7 @@
         }
     }
 
-    /// Closes the connections that have been idle for too long.
+    /// Closes the connections that have been idle for longer than the idle timeout.
     pub fn close_expired(&mut self, now: Micros) {
         let connections = &mut self.connections;
         let idle_timeout = self.idle_timeout;
@@ -194,7 +198,7 @@
         });
     }
 
-    /// Closes the connection that has been idle for longest where too many are.
+    /// Closes the connection that has been idle for longest if there are more than [`MAX_IDLE_CONNECTIONS`].
     fn close_excess_idle(&mut self) {
         if self.connections.len() <= MAX_IDLE_CONNECTIONS {
             return;
@@ -218,8 +222,8 @@
         }
     }
 
-    /// Makes room for a connection: the one that has been idle for longest is closed; if there is none, the oldest that
-    /// is overdue; if there is none either, the oldest that was abandoned.
+    /// Closes one connection to make room for another: the one that has been idle for longest. If none is idle, the
+    /// oldest overdue one; if none is overdue either, the oldest abandoned one.
     fn evict_one(&mut self, now: Micros) {
         let candidates = self.connections.iter().filter_map(|(id, connection)| {
             let (rank, since) = match connection.state {
@@ -241,7 +245,7 @@
         }
     }
 
-    // Attempts that wait.
+    // Attempts that wait for a connection.
 
     /// Takes an idle connection to a server for an attempt, if there is one.
     pub fn take_idle(
@@ -266,8 +270,8 @@
         }
     }
 
-    /// Has an attempt wait for a connection, and opens one if more wait than are being established; `false` if none can
-    /// be opened and none is being established.
+    /// Queues an attempt for a connection, and opens one if more attempts wait than connections are expected. `false`
+    /// if none can be opened and none is expected; the attempt is then not queued.
     pub fn enqueue(&mut self, target: ServerTarget, attempt: AttemptId, now: Micros) -> bool {
         let queue = self.queues.entry(target.server).or_default();
         queue.waiting.push_back(attempt);
@@ -275,14 +279,14 @@
         if waiting <= self.expected_connections(target.server, now) || self.open(target, now) {
             return true;
         }
-        let may_be_served = self.expected_connections(target.server, now) > 0;
-        if !may_be_served {
+        let is_connection_expected = self.expected_connections(target.server, now) > 0;
+        if !is_connection_expected {
             self.cancel_wait(target.server, attempt);
         }
-        may_be_served
+        is_connection_expected
     }
 
-    /// How many connections to a server are being established and not overdue.
+    /// How many connections to a server are being established and are not overdue.
     fn expected_connections(&self, server: ServerId, now: Micros) -> usize {
         let Some(queue) = self.queues.get(&server) else {
             return 0;
@@ -302,7 +306,7 @@
             .count()
     }
 
-    /// Whether a connection that has been connecting since a time should be established by now.
+    /// Whether a connection that has been connecting since `since` should be established by now.
     pub fn is_overdue(&self, since: Micros, now: Micros) -> bool {
         now >= since + self.expected_connect_time
     }
@@ -319,7 +323,7 @@
         })
     }
 
-    /// The attempt that has waited for longest for a connection to a server, if more wait than connections are
+    /// The attempt that has waited for longest for a connection to a server, if more attempts wait than connections are
     /// expected.
     pub fn excess_waiting_attempt(&self, server: ServerId, now: Micros) -> Option<AttemptId> {
         let queue = self.queues.get(&server)?;
@@ -330,8 +334,9 @@
         Some(*oldest)
     }
 
-    /// Gives a connection that carries nothing to the attempt that has waited for longest; without one it is idle.
-    /// `address` is where its server takes requests, if it does: a connection to elsewhere is closed.
+    /// Assigns a free connection to the attempt that has waited for longest. If no attempt waits, the connection
+    /// becomes idle. `address` is the address at which its server accepts requests, if it does: a connection to any
+    /// other address is closed.
     pub fn assign_to_waiting(
         &mut self,
         id: ConnectionId,
@@ -359,7 +364,7 @@
         next
     }
 
-    /// Removes an attempt from those that wait for a connection to a server.
+    /// Removes an attempt from the queue for a connection to a server.
     pub fn cancel_wait(&mut self, server: ServerId, attempt: AttemptId) {
         if let Some(queue) = self.queues.get_mut(&server) {
             queue.waiting.retain(|other| *other != attempt);
@@ -374,25 +379,26 @@
             .unwrap_or_default()
     }
 
-    // Attempts on a connection.
+    // Requests on a connection.
 
-    /// The server of a connection and what it is doing; `None` if it is closed.
+    /// The server and the state of a connection; `None` if it is closed.
     pub fn state(&self, id: ConnectionId) -> Option<(ServerId, ConnectionState)> {
         self.connections
             .get(&id)
             .map(|connection| (connection.server, connection.state))
     }
 
-    /// How many requests a connection has been given.
+    /// How many requests have been handed to a connection.
     pub fn request_count(&self, id: ConnectionId) -> u64 {
         self.connections
             .get(&id)
             .map_or(0, |connection| connection.request_count)
     }
 
-    /// Hands a request to an established connection, to be written before `write_by`; `false` if the connection is lost
-    /// already. `is_confirmed` tells that it was handed over before and its write had to be confirmed: it is not asked
-    /// about again, or it would never be written on a machine that is always late.
+    /// Hands a request to an established connection, to be written before `write_by`; `false` if the connection has
+    /// already been lost. `is_confirmed` tells that the request was handed over before and its write had to be
+    /// confirmed. It is not confirmed a second time: on a machine that is always late it would otherwise never be
+    /// written.
     pub fn start_write(
         &mut self,
         id: ConnectionId,
@@ -418,7 +424,7 @@
         })
     }
 
-    /// How far the request is written that a connection was given last.
+    /// The write progress of the last request that was handed to a connection.
     pub fn write_progress(&self, id: ConnectionId) -> WriteProgress {
         self.connections
             .get(&id)
@@ -427,8 +433,8 @@
             })
     }
 
-    /// Withdraws the request that a connection was given, if no byte of it is written. Returns how far its write had
-    /// come.
+    /// Withdraws the request that was handed to a connection, if no byte of it has been written. Returns the write
+    /// progress before the call.
     pub fn withdraw(&mut self, id: ConnectionId) -> WriteProgress {
         let withdrawn = self.connections.get(&id).is_some_and(|connection| {
             connection
@@ -441,8 +447,8 @@
         self.write_progress(id)
     }
 
-    /// Leaves a connection without its attempt, which was sent at a time, until the response comes; `false` if the
-    /// connection is closed.
+    /// Detaches a connection from its attempt, which was sent at `sent_at`. The connection stays open for the response;
+    /// `false` if it is closed.
     pub fn abandon(&mut self, id: ConnectionId, sent_at: Micros) -> bool {
         let Some(connection) = self.connections.get_mut(&id) else {
             return false;
@@ -452,7 +458,7 @@
     }
 }
 
-/// Which kind of connection is closed first where there are too many.
+/// The order in which kinds of connection are closed when there are too many.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
     Idle,
@@ -460,7 +466,7 @@
     Abandoned,
 }
 
-/// A connection that may be closed where there are too many; the least is closed first.
+/// A connection that may be closed when there are too many; the smallest candidate is closed first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionCandidate {
     rank: EvictionRank,
--- a/crates/cache-router/src/http.rs
+++ b/crates/cache-router/src/http.rs
@@ -1,18 +1,18 @@
 //! The parts of HTTP/1.1 that a client of the origin needs: response heads and chunked bodies.
 //!
-//! It parses bytes and does no I/O. What a response means for an attempt is decided by
-//! [`origin_protocol`](crate::origin_protocol).
+//! This module parses bytes and does no I/O. [`origin_protocol`](crate::origin_protocol) decides what a response means
+//! for an attempt.
 
 use bytes::{Buf, BytesMut};
 use thiserror::Error;
 
-/// The longest response head and the longest chunk-size line, in bytes: ample for the few headers of the origin, and a
-/// bound on what a peer that never ends its head makes the router hold.
+/// The longest response head and the longest chunk-size line, in bytes: more than the few headers of the origin need.
+/// It limits what the router buffers for a peer that never ends its head.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The most headers of a response head: the parser's table is on the stack.
+/// The maximum number of headers of a response head: the parser's table is on the stack.
 const MAX_HEADERS: usize = 48;
 
-/// A response that breaks the framing of HTTP/1.1; the connection that brought it has to be closed.
+/// A response that violates the framing of HTTP/1.1. Its connection has to be closed.
 #[derive(Debug, PartialEq, Eq, Clone, Copy, Error)]
 pub enum HttpError {
     /// The head is not HTTP, has too many headers, or does not end.
@@ -23,17 +23,17 @@
     )]
     InvalidHead,
     /// A `Content-Length` that is not a plain decimal number.
-    #[error("the response has a Content-Length that is no number; close the connection")]
+    #[error("the response has a Content-Length that is not a decimal number; close the connection")]
     InvalidContentLength,
-    /// Two `Content-Length` headers that differ: where the body ends can't be told.
+    /// Two `Content-Length` headers that differ: the end of the body is ambiguous.
     #[error(
-        "the response has two Content-Length headers of different values; close the connection"
+        "the response has two Content-Length headers with different values; close the connection"
     )]
     ConflictingContentLength,
-    /// `Content-Length` together with `Transfer-Encoding`: where the body ends can't be told.
+    /// `Content-Length` together with `Transfer-Encoding`: the end of the body is ambiguous.
     #[error("the response has both Content-Length and Transfer-Encoding; close the connection")]
     LengthAndTransferEncoding,
-    /// A chunk without a valid size, or longer than its size.
+    /// A chunk without a valid size, or one that does not end where its size says.
     #[error("the response has a chunk without a valid size or end; close the connection")]
     InvalidChunk,
 }
@@ -41,7 +41,7 @@
 /// The head of a response, reduced to what the router uses.
 #[derive(Debug, Default, PartialEq)]
 pub struct ResponseHead {
-    /// Length of the head itself, in bytes.
+    /// Length of the head, in bytes.
     pub head_length: usize,
     /// The status code.
     pub status: u16,
@@ -63,7 +63,7 @@
 ///
 /// # Errors
 ///
-/// If the head is malformed or too long, or leaves the end of its body in doubt.
+/// If the head is malformed or too long, or the end of the body is ambiguous.
 pub fn parse_head(buffer: &[u8]) -> Result<Option<ResponseHead>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
@@ -103,7 +103,10 @@
 impl ResponseHead {
     fn set_content_length(&mut self, value: &str) -> Result<(), HttpError> {
         let length = parse_decimal(value).ok_or(HttpError::InvalidContentLength)?;
-        if self.content_length.is_some_and(|before| before != length) {
+        if self
+            .content_length
+            .is_some_and(|previous| previous != length)
+        {
             return Err(HttpError::ConflictingContentLength);
         }
         self.content_length = Some(length);
@@ -111,7 +114,7 @@
     }
 }
 
-/// A length as HTTP writes it: digits and nothing else.
+/// Parses a length in HTTP: decimal digits only.
 fn parse_decimal(text: &str) -> Option<usize> {
     if !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return None;
@@ -119,12 +122,12 @@
     text.parse().ok()
 }
 
-/// Decodes a chunked body, however the bytes of the stream are cut.
+/// Decodes a chunked body incrementally, whatever the size of each read.
 #[derive(Default)]
 pub struct ChunkDecoder {
-    /// Bytes of the current chunk's content that are still to come.
+    /// Bytes of the current chunk's content that have not been decoded yet.
     remaining: usize,
-    /// Whether the line end after a chunk's content is still to come.
+    /// Whether the line end after a chunk's content is next.
     expects_line_end: bool,
     finished: bool,
 }
@@ -151,19 +154,19 @@
         Ok(true)
     }
 
-    /// Moves what is there of the current chunk's content.
+    /// Moves the available part of the current chunk's content.
     fn copy_content(&mut self, input: &mut BytesMut, body: &mut BytesMut) {
         if self.remaining == 0 {
             return;
         }
-        let part = self.remaining.min(input.len());
-        body.extend_from_slice(&input[..part]);
-        input.advance(part);
-        self.remaining -= part;
+        let count = self.remaining.min(input.len());
+        body.extend_from_slice(&input[..count]);
+        input.advance(count);
+        self.remaining -= count;
         self.expects_line_end = self.remaining == 0;
     }
 
-    /// Skips the line end after a chunk's content; `false` while it is not there.
+    /// Skips the line end after a chunk's content; `false` while it is incomplete.
     fn skip_line_end(&mut self, input: &mut BytesMut) -> Result<bool, HttpError> {
         const LINE_END: &[u8] = b"\r\n";
         if input.len() < LINE_END.len() {
--- a/crates/cache-router/src/origin_protocol.rs
+++ b/crates/cache-router/src/origin_protocol.rs
@@ -1,4 +1,4 @@
-//! The protocol of the origin, over HTTP/1.1: the requests that the router sends and what the responses mean.
+//! The protocol of the origin, over HTTP/1.1: encodes the requests that the router sends and interprets the responses.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use routing_policy::AttemptStatus;
@@ -8,16 +8,16 @@
 use crate::message::{ClientCommand, ProtocolError, ServerResponse};
 use crate::resp::MAX_VALUE_BYTES;
 
-/// A chunked body may hold so many bytes before its end, framing included: ample for a value of the longest size.
+/// The longest chunked body, in bytes, framing included: more than a value of the maximum size needs.
 const MAX_CHUNKED_BODY_BYTES: usize = 2 * MAX_VALUE_BYTES;
-/// First size of the buffer for a request, in bytes: a read fits in it.
+/// Initial capacity of the buffer for a request, in bytes: a read fits in it.
 const REQUEST_CAPACITY: usize = 512;
 
 const STATUS_OK: u16 = 200;
 const STATUS_SERVICE_UNAVAILABLE: u16 = 503;
 const STATUS_GATEWAY_TIMEOUT: u16 = 504;
 
-/// Encodes a client's command as a request. Like a cache server, the origin is told the time that remains, in
+/// Encodes a client's command as an HTTP request. As for a cache server, the request states the remaining time in
 /// milliseconds.
 pub fn encode(command: &ClientCommand, host: &str, remaining_ms: u64) -> Bytes {
     let mut out = BytesMut::with_capacity(REQUEST_CAPACITY);
@@ -36,11 +36,11 @@
     out.freeze()
 }
 
-/// Takes a response off the front of the bytes that a connection brought; `None` while it is incomplete.
+/// Removes a response from the front of the bytes that were received on a connection; `None` while it is incomplete.
 ///
 /// # Errors
 ///
-/// If the bytes are no response of this protocol, or its value is too long.
+/// If the bytes are not a response of this protocol, or its value is too long.
 pub fn decode(
     buffer: &mut BytesMut,
     load_names: &[String],
@@ -49,7 +49,7 @@
         return Ok(None);
     };
     if (100..200).contains(&head.status) {
-        // An interim response: the final one follows it.
+        // An interim response, which the final response follows.
         let _ = buffer.split_to(head.head_length);
         return decode(buffer, load_names);
     }
@@ -64,8 +64,9 @@
     Ok(body.map(|body| response(&head, body, load_names)))
 }
 
-/// Takes the response that has just ended in order with its connection: one without a length has its end there. `None`
-/// if what came is not a whole response. A connection that was reset has not ended in order, and shows no end.
+/// Removes the response that ends with its connection: the regular end of the connection completes a response without a
+/// length. `None` if the received bytes are not such a response. A reset of the connection does not complete a
+/// response.
 pub fn decode_at_end(buffer: &mut BytesMut, load_names: &[String]) -> Option<ServerResponse> {
     let head = http::parse_head(buffer).ok()??;
     if !head.ends_with_connection() {
@@ -79,7 +80,7 @@
     Some(response(&head, body, load_names))
 }
 
-/// Checks that a body which ends with its connection is not longer than any value.
+/// Checks that a body which ends with its connection does not exceed the maximum size of a value.
 fn check_unfinished_body(buffer: &[u8], head: &ResponseHead) -> Result<(), ProtocolError> {
     if buffer.len() - head.head_length > MAX_VALUE_BYTES {
         return Err(ProtocolError);
@@ -87,14 +88,14 @@
     Ok(())
 }
 
-/// The body of a response, and whether the connection can carry another request after it.
+/// The body of a response, and whether the connection can be used for another request after it.
 struct Body {
     content: Bytes,
     reusable: bool,
 }
 
-/// Decodes a chunked body from its start each time; `None` while it is incomplete. It stays in the buffer, since its
-/// connection is closed.
+/// Decodes a chunked body, from its start at each call; `None` while it is incomplete. The body is not removed from the
+/// buffer, since the connection is closed after it.
 fn decode_chunked_body(buffer: &[u8], head: &ResponseHead) -> Result<Option<Body>, ProtocolError> {
     let mut input = BytesMut::from(&buffer[head.head_length..]);
     let mut content = BytesMut::new();
@@ -113,7 +114,8 @@
     Ok(None)
 }
 
-/// Takes a response with a body of a stated length, or without a value, off the buffer; `None` while it is incomplete.
+/// Removes a response with a body of a stated length, or without a value, from the buffer; `None` while it is
+/// incomplete.
 fn take_sized_body(
     buffer: &mut BytesMut,
     head: &ResponseHead,
@@ -121,7 +123,7 @@
     let (length, reusable) = match head.content_length {
         Some(length) if length <= MAX_VALUE_BYTES => (length, !head.close),
         Some(_) => return Err(ProtocolError),
-        // Of a response without a value, the head tells all.
+        // A response without a value needs no body: only its head is used.
         None => (0, false),
     };
     if buffer.len() < head.head_length + length {
--- a/crates/cache-router/src/resp.rs
+++ b/crates/cache-router/src/resp.rs
@@ -1,7 +1,7 @@
-//! A codec for RESP2, both directions: the commands of clients and the replies of cache servers.
+//! A codec for RESP2 in both directions: the commands of clients and the replies of cache servers.
 //!
-//! Written here because the decoders at hand recurse without a bound on depth and accept any stated length: what a peer
-//! sends must neither overflow the stack nor reserve memory.
+//! Available decoders recurse without a limit on depth and accept any stated length. This one limits both: the input of
+//! a peer must neither overflow the stack nor make the router reserve memory.
 
 use std::ops::Range;
 
@@ -10,31 +10,31 @@
 
 /// The longest value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 64 * 1024;
-/// The longest command, in bytes: a value, and beside it more than its other words may take. Without it a client could
-/// make the router hold a value for each word of a command that is rejected in the end.
+/// The longest command, in bytes: a value, and more than the other arguments may take. Without this limit a client
+/// could make the router buffer a value for each argument of a command that is rejected in the end.
 pub const MAX_COMMAND_BYTES: usize = MAX_VALUE_BYTES + 4 * 1024;
-/// The most words of a command, and the most elements of an array in a reply.
+/// The maximum number of arguments of a command, and of elements of an array in a reply.
 const MAX_ELEMENTS: usize = 16;
-/// The longest line that states a length, in bytes: more than any number below the limits needs.
+/// The longest line that states a length, in bytes: more than any number within the limits needs.
 const MAX_LENGTH_LINE_BYTES: usize = 24;
 /// The longest simple string, error or integer of a reply, in bytes.
 const MAX_LINE_BYTES: usize = 4096;
-/// How deep arrays of a reply may be nested: a reply of a cache server is one flat array.
+/// The maximum nesting depth of arrays in a reply: a reply of a cache server is one flat array.
 const MAX_DEPTH: u8 = 3;
 
 const LINE_END: &[u8] = b"\r\n";
 
-/// Input that is not RESP2, or exceeds a limit: the framing is lost and the connection has to be closed. The texts are
-/// part of the protocol, since clients are sent them.
+/// Input that is not RESP2, or exceeds a limit. The end of the command or reply is unknown, so the connection has to be
+/// closed. The texts are part of the protocol, since they are sent to clients.
 #[derive(Debug, PartialEq, Eq, Clone, Copy, Error)]
 pub enum RespError {
     /// A command of more than [`MAX_COMMAND_BYTES`].
     #[error("command too long")]
     CommandTooLong,
-    /// A line without an end within its limit.
+    /// A line that exceeds its maximum length.
     #[error("line too long")]
     LineTooLong,
-    /// A type that does not belong here, or an array nested too deep.
+    /// A type that is not allowed at this position, or an array nested too deep.
     #[error("unexpected type")]
     UnexpectedType,
     /// A length that is not a plain decimal number.
@@ -46,10 +46,10 @@
     /// A bulk string that is not followed by a line end.
     #[error("bulk string not ended")]
     UnterminatedBulkString,
-    /// A null among the words of a command.
+    /// A null among the arguments of a command.
     #[error("null in a command")]
     NullInCommand,
-    /// An integer that is none, or does not fit.
+    /// An integer that is malformed or out of range.
     #[error("invalid number")]
     InvalidInteger,
 }
@@ -69,15 +69,15 @@
     Integer(i64),
 }
 
-/// Takes one complete command, an array of bulk strings, off the front of a buffer; `None` while it is incomplete.
+/// Removes one complete command, an array of bulk strings, from the front of a buffer; `None` while it is incomplete.
 ///
 /// # Errors
 ///
-/// If the input is not a command or exceeds a limit. The buffer is then left as it is.
+/// If the input is not a command or exceeds a limit. The buffer is then unchanged.
 pub fn take_command(buffer: &mut BytesMut) -> Result<Option<Vec<Bytes>>, RespError> {
     let mut scanner = Scanner::new(buffer);
-    let words = match scanner.command() {
-        Ok(words) => words,
+    let arguments = match scanner.command() {
+        Ok(arguments) => arguments,
         Err(ScanError::Malformed(error)) => return Err(error),
         Err(ScanError::Incomplete) if buffer.len() > MAX_COMMAND_BYTES => {
             return Err(RespError::CommandTooLong);
@@ -87,15 +87,18 @@
     let end = scanner.position;
     let command = buffer.split_to(end).freeze();
     Ok(Some(
-        words.into_iter().map(|word| command.slice(word)).collect(),
+        arguments
+            .into_iter()
+            .map(|argument| command.slice(argument))
+            .collect(),
     ))
 }
 
-/// Takes one complete reply off the front of a buffer; `None` while it is incomplete.
+/// Removes one complete reply from the front of a buffer; `None` while it is incomplete.
 ///
 /// # Errors
 ///
-/// If the input is not a reply or exceeds a limit. The buffer is then left as it is.
+/// If the input is not a reply or exceeds a limit. The buffer is then unchanged.
 pub fn take_value(buffer: &mut BytesMut) -> Result<Option<Value>, RespError> {
     let mut scanner = Scanner::new(buffer);
     let value = match scanner.value(0) {
@@ -108,11 +111,11 @@
     Ok(Some(value))
 }
 
-/// Why a scan stopped before the end of what it scans.
+/// Why a scan stopped before the end of the element.
 enum ScanError {
     /// More bytes are needed.
     Incomplete,
-    /// No further bytes can make it valid.
+    /// The input is invalid, whatever bytes follow.
     Malformed(RespError),
 }
 
@@ -122,7 +125,8 @@
     }
 }
 
-/// Reads elements at the front of a buffer without taking them off: an incomplete one is read anew when more is there.
+/// Parses elements at the front of a buffer without removing them. An incomplete element is parsed again from its start
+/// when more bytes have arrived.
 struct Scanner<'a> {
     bytes: &'a [u8],
     position: usize,
@@ -133,7 +137,7 @@
         Scanner { bytes, position: 0 }
     }
 
-    /// The type of the next element, by its first byte.
+    /// The type of the next element, which is its first byte.
     fn peek_type(&self) -> Result<u8, ScanError> {
         self.bytes
             .get(self.position)
@@ -141,7 +145,7 @@
             .ok_or(ScanError::Incomplete)
     }
 
-    /// A line without its end.
+    /// A line without its terminator.
     fn line(&mut self, max_length: usize) -> Result<&'a [u8], ScanError> {
         let rest = &self.bytes[self.position..];
         let end = rest
@@ -158,7 +162,7 @@
         }
     }
 
-    /// A line of a type and a length; `None` stands for a null.
+    /// A line that consists of a type and a length; `None` for a null.
     fn length(&mut self, expected_type: u8, limit: usize) -> Result<Option<usize>, ScanError> {
         if self.peek_type()? != expected_type {
             return Err(RespError::UnexpectedType.into());
@@ -174,7 +178,7 @@
         Ok(Some(length))
     }
 
-    /// The bounds of the content of a bulk string; `None` stands for a null.
+    /// The range of the content of a bulk string; `None` for a null.
     fn bulk_string(&mut self) -> Result<Option<Range<usize>>, ScanError> {
         let Some(length) = self.length(b'$', MAX_VALUE_BYTES)? else {
             return Ok(None);
@@ -192,22 +196,22 @@
         Ok(Some(start..end))
     }
 
-    /// The bounds of the words of a command.
+    /// The ranges of the arguments of a command.
     fn command(&mut self) -> Result<Vec<Range<usize>>, ScanError> {
         let count = self.length(b'*', MAX_ELEMENTS)?.unwrap_or(0);
-        let mut words = Vec::with_capacity(count);
+        let mut arguments = Vec::with_capacity(count);
         for _ in 0..count {
-            words.push(self.bulk_string()?.ok_or(RespError::NullInCommand)?);
+            arguments.push(self.bulk_string()?.ok_or(RespError::NullInCommand)?);
         }
-        Ok(words)
+        Ok(arguments)
     }
 
-    /// A reply, inside `depth` arrays.
+    /// A reply that is nested in `depth` arrays.
     fn value(&mut self, depth: u8) -> Result<Value, ScanError> {
         match self.peek_type()? {
             b'$' => {
                 let content = self.bulk_string()?;
-                let copy = |bounds| Bytes::copy_from_slice(&self.bytes[bounds]);
+                let copy = |range| Bytes::copy_from_slice(&self.bytes[range]);
                 Ok(Value::BulkString(content.map(copy)))
             }
             b'*' if depth < MAX_DEPTH => self.array(depth),
@@ -230,7 +234,7 @@
 
     fn array(&mut self, depth: u8) -> Result<Value, ScanError> {
         let count = self.length(b'*', MAX_ELEMENTS)?.unwrap_or(0);
-        // Grown as elements come: a stated count alone must not reserve memory.
+        // Grows as elements are parsed: a stated count alone must not reserve memory.
         let mut elements = Vec::new();
         for _ in 0..count {
             elements.push(self.value(depth + 1)?);
@@ -238,13 +242,13 @@
         Ok(Value::Array(elements))
     }
 
-    /// What follows the type on a line.
+    /// The rest of a line after the type.
     fn line_content(&mut self) -> Result<&'a [u8], ScanError> {
         Ok(&self.line(MAX_LINE_BYTES)?[1..])
     }
 }
 
-/// A length as RESP2 writes it: digits and nothing else.
+/// Parses a length in RESP2: decimal digits only.
 fn parse_length(text: &[u8]) -> Option<usize> {
     if text.is_empty() || !text.iter().all(u8::is_ascii_digit) {
         return None;
@@ -263,18 +267,18 @@
     out.put_slice(LINE_END);
 }
 
-/// Encodes a command of the given words.
-pub fn encode_command(words: &[&[u8]]) -> Bytes {
-    /// The most that a length line and a line end add to a word, in bytes.
+/// Encodes a command with the given arguments, of which the first is its name.
+pub fn encode_command(arguments: &[&[u8]]) -> Bytes {
+    /// The most that the length line and the terminator add to an argument, in bytes.
     const FRAMING_BYTES: usize = 16;
-    let content_size = words
+    let content_size = arguments
         .iter()
-        .map(|word| word.len() + FRAMING_BYTES)
+        .map(|argument| argument.len() + FRAMING_BYTES)
         .sum::<usize>();
     let mut out = BytesMut::with_capacity(content_size + FRAMING_BYTES);
-    out.put_slice(format!("*{}\r\n", words.len()).as_bytes());
-    for word in words {
-        put_bulk_string(&mut out, word);
+    out.put_slice(format!("*{}\r\n", arguments.len()).as_bytes());
+    for argument in arguments {
+        put_bulk_string(&mut out, argument);
     }
     out.freeze()
 }
--- a/crates/cache-router/src/server_connection.rs
+++ b/crates/cache-router/src/server_connection.rs
@@ -1,8 +1,8 @@
-//! The task of one connection to a cache server or the origin: it owns the socket and its buffer, and carries one
-//! request at a time, since a connection answers in order and a slow response would delay those behind it.
+//! The task of one connection to a cache server or the origin. It owns the socket and its read buffer, and handles one
+//! request at a time: a connection answers in order, so a slow response would delay the responses after it.
 //!
-//! The [connection pool](crate::connection_pool) spawns the task and ends it by aborting it; it also ends by itself when
-//! its connection is lost. It reports to the event loop.
+//! The [connection pool](crate::connection_pool) spawns and aborts the task. The task also ends by itself when its
+//! connection is lost. It reports to the event loop.
 
 use std::io;
 use std::net::SocketAddr;
@@ -29,18 +29,19 @@
 use crate::write_progress::{SharedWriteProgress, WriteProgress};
 use crate::{cache_protocol, origin_protocol};
 
-/// Free space in the buffer before each read, in bytes: most responses come in one.
+/// Free space in the buffer before each read, in bytes: most responses fit in one read.
 const READ_CAPACITY: usize = 2048;
 
-/// A request for a connection to carry.
+/// A request that is handed to a connection.
 pub struct OutgoingRequest {
     /// The encoded request.
     pub bytes: Bytes,
-    /// It may not be written from this time on: the process may have been suspended since the event loop decided to.
+    /// The request may not be written from this time on: the process may have been suspended since the event loop
+    /// decided to send it.
     pub write_by: Micros,
-    /// From this time on the event loop has to confirm the write first.
+    /// From this time on the event loop has to confirm the write before it starts.
     pub confirm_from: Micros,
-    /// How far its write has come.
+    /// The progress of its write.
     pub progress: Arc<SharedWriteProgress>,
 }
 
@@ -55,22 +56,23 @@
     pub events: mpsc::Sender<RouterEvent>,
 }
 
-/// The pool's side of a connection. Dropping it aborts the task and so closes the connection.
+/// The pool's handle to a connection. Dropping it aborts the task, which closes the connection.
 pub struct ServerConnectionHandle {
-    /// Takes one request at a time.
+    /// Holds one request at a time.
     requests: mpsc::Sender<OutgoingRequest>,
-    /// Whether opening it has been delayed by this machine and not by the server.
+    /// Whether opening the connection has been delayed by this machine and not by the server.
     is_delayed_locally: Arc<AtomicBool>,
     task: AbortHandle,
 }
 
 impl ServerConnectionHandle {
-    /// Hands a request to the connection; `false` if its task has ended or it carries another.
+    /// Hands a request to the connection; `false` if its task has ended or another request is queued.
     pub fn send(&self, request: OutgoingRequest) -> bool {
         self.requests.try_send(request).is_ok()
     }
 
-    /// Whether opening it has been delayed by this machine: the server cannot be blamed for the delay.
+    /// Whether opening the connection has been delayed by this machine. The delay then does not count as a failure of
+    /// the server.
     pub fn is_delayed_locally(&self) -> bool {
         self.is_delayed_locally.load(Ordering::Relaxed)
     }
@@ -87,7 +89,7 @@
     }
 }
 
-/// Spawns the task of a connection, which opens it first.
+/// Spawns the task of a connection, which starts by opening it.
 pub fn spawn(
     id: ConnectionId,
     target: ServerTarget,
@@ -111,7 +113,7 @@
     }
 }
 
-/// A connection, in its task.
+/// The state of a connection's task.
 struct ServerConnection {
     id: ConnectionId,
     protocol: ServerProtocol,
@@ -122,12 +124,13 @@
 
 impl ServerConnection {
     async fn run(mut self, address: SocketAddr, connect_timeout: Duration) {
-        let last_event = self.carry_requests(address, connect_timeout).await;
+        let last_event = self.handle_requests(address, connect_timeout).await;
         let _ = self.report(last_event).await;
     }
 
-    /// Opens the connection and carries one request after the other. Returns its last event, after which it is closed.
-    async fn carry_requests(
+    /// Opens the connection and handles one request after the other. Returns the last event of the connection, which is
+    /// then closed.
+    async fn handle_requests(
         &mut self,
         address: SocketAddr,
         connect_timeout: Duration,
@@ -136,11 +139,11 @@
             progress: WriteProgress::NotStarted,
             cause: LossCause::Server,
         });
-        // A machine that vanished answers nothing, so connecting has a time-out of its own. It is longer than that of
-        // the attempts that wait for it: a connection that comes up late shows that the server is there.
+        // A machine that is down answers nothing, so connecting has a timeout of its own. It is longer than the timeout
+        // of the attempts that wait for the connection: one that is established late shows that the server is up.
         let deadline = Instant::now() + connect_timeout;
-        let note_local_failure = || self.is_delayed_locally.store(true, Ordering::Relaxed);
-        let connected = socket::connect::connect(address, deadline, note_local_failure).await;
+        let record_local_failure = || self.is_delayed_locally.store(true, Ordering::Relaxed);
+        let connected = socket::connect::connect(address, deadline, record_local_failure).await;
         let Ok(mut stream) = connected else {
             return LOST;
         };
@@ -152,8 +155,8 @@
             }
             buffer.reserve(READ_CAPACITY);
             let next_request = tokio::select! {
-                // Reads come first: a connection that the server has closed is not written to, so that its request
-                // surely never ran.
+                // Reads come first: nothing is written to a connection that the server has closed, so the request has
+                // certainly not run.
                 biased;
                 _ = stream.read_buf(&mut buffer) => return LOST,
                 request = self.requests.recv() => request,
@@ -161,31 +164,32 @@
             let Some(request) = next_request else {
                 return LOST;
             };
-            event = self.carry(request, &mut stream, &mut buffer).await;
+            event = self.handle_request(request, &mut stream, &mut buffer).await;
             if closes_connection(&event) {
                 return event;
             }
         }
     }
 
-    /// Reports to the event loop; `false` if there is none any more.
+    /// Sends an event to the event loop; `false` if the event loop has ended.
     async fn report(&self, event: ServerConnectionEvent) -> bool {
         let event = RouterEvent::ServerConnection(self.id, event);
         self.context.events.send(event).await.is_ok()
     }
 
-    /// Carries one request, unless its time is up, it was withdrawn, or the write has to be confirmed.
-    async fn carry(
+    /// Writes one request and reads its response, unless its deadline has passed, it was withdrawn, or the write has to
+    /// be confirmed.
+    async fn handle_request(
         &self,
         request: OutgoingRequest,
         stream: &mut SocketStream,
         buffer: &mut BytesMut,
     ) -> ServerConnectionEvent {
-        // The process may have been suspended since the event loop decided to write: a request must not be written
-        // after its end.
+        // The process may have been suspended since the event loop decided to write. A request must not be written
+        // after its deadline.
         let now = self.context.clock.now();
         if now < request.write_by && now >= request.confirm_from {
-            // The event loop takes in first what arrived meanwhile.
+            // Yields first, so that the event loop receives what arrived in the meantime.
             tokio::task::yield_now().await;
             return ServerConnectionEvent::ConfirmWrite;
         }
@@ -200,29 +204,30 @@
             Err(error) if classify(&error).is_transient() => {
                 return self.postpone_write(progress).await;
             }
-            Err(error) => return lost_by(&error, WriteProgress::Writing),
+            Err(error) => return connection_lost(&error, WriteProgress::Writing),
         };
         if let Err(error) = stream.write_all(&request.bytes[first_write..]).await {
-            return lost_by(&error, WriteProgress::Writing);
+            return connection_lost(&error, WriteProgress::Writing);
         }
         progress.advance(WriteProgress::Writing, WriteProgress::Written);
-        // The memory of a large value is not held while its response is waited for.
+        // Frees the memory of a large value before waiting for the response.
         drop(request);
         match self.read_response(stream, buffer).await {
             Ok(response) => ServerConnectionEvent::Response(response),
-            Err(error) => lost_by(&error, WriteProgress::Written),
+            Err(error) => connection_lost(&error, WriteProgress::Written),
         }
     }
 
-    /// This machine could not write the first byte of a request. It is written again only once the event loop has
-    /// confirmed it: meanwhile its client may leave, and the time that it states becomes wrong.
+    /// Handles a local failure to write the first byte of a request. The write is repeated only after the event loop
+    /// has confirmed it: in the meantime the client may disconnect, and the remaining time that the request states
+    /// becomes wrong.
     async fn postpone_write(&self, progress: &SharedWriteProgress) -> ServerConnectionEvent {
         progress.advance(WriteProgress::Writing, WriteProgress::NotStarted);
         tokio::time::sleep(LOCAL_RETRY_PAUSE).await;
         ServerConnectionEvent::ConfirmWrite
     }
 
-    /// Reads a response; an error if the connection is lost or its server breaks the protocol.
+    /// Reads a response; an error if the connection is lost or the server violates the protocol.
     async fn read_response(
         &self,
         stream: &mut SocketStream,
@@ -238,9 +243,9 @@
                 break last.ok_or(io::ErrorKind::UnexpectedEof)?;
             }
         };
-        // Bytes beyond the response belong to no request: nothing after them could be matched.
+        // Bytes after the response belong to no request, so later responses could not be matched to requests.
         let reusable = response.reusable && buffer.is_empty();
-        // Gives back the memory that a large response took.
+        // Frees the memory that a large response took.
         *buffer = BytesMut::new();
         Ok(ServerResponse {
             reusable,
@@ -256,7 +261,7 @@
         }
     }
 
-    /// The response that ended in order with its connection, if there is one.
+    /// The response whose end is the regular end of the connection, if there is one.
     fn decode_at_end(&self, buffer: &mut BytesMut) -> Option<ServerResponse> {
         let load_names = &self.context.deployment.load_names;
         match self.protocol {
@@ -266,8 +271,8 @@
     }
 }
 
-/// The event of a connection that was lost by an error, while it carried a request that was written so far.
-fn lost_by(error: &io::Error, progress: WriteProgress) -> ServerConnectionEvent {
+/// The event for a connection that was lost by an error. `progress` is the write progress of its request.
+fn connection_lost(error: &io::Error, progress: WriteProgress) -> ServerConnectionEvent {
     let cause = if classify(error).is_transient() {
         LossCause::ThisMachine
     } else {
@@ -276,7 +281,7 @@
     ServerConnectionEvent::Lost(LostConnection { progress, cause })
 }
 
-/// Whether a connection can carry no request after an event.
+/// Whether a connection has to be closed after an event.
 fn closes_connection(event: &ServerConnectionEvent) -> bool {
     match event {
         ServerConnectionEvent::Lost(_) => true,
