--- a/crates/cache-router/tests/connection_pool.rs
+++ b/crates/cache-router/tests/connection_pool.rs
@@ -1,4 +1,4 @@
-//! The pool of connections to servers: how many it keeps while they are idle.
+//! The limit on idle connections of the pool of connections to servers.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -20,7 +20,7 @@
 };
 
 #[tokio::test]
-async fn the_connection_that_has_been_idle_for_longest_gives_way_where_too_many_are() {
+async fn the_longest_idle_connection_is_closed_when_there_are_too_many() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let settings =
@@ -28,9 +28,9 @@
     let deployment = routing_policy::settings::read(settings.as_bytes()).unwrap();
     let (events, _events) = mpsc::channel(4096);
     let mut pool = ConnectionPool::new(1024, Arc::new(deployment), Clock::start(), events);
-    let most = MAX_IDLE_CONNECTIONS as u64;
+    let limit = MAX_IDLE_CONNECTIONS as u64;
     let in_use = 1;
-    for id in 1..=most + 3 {
+    for id in 1..=limit + 3 {
         let target = ServerTarget {
             server: id as u32,
             address,
@@ -47,9 +47,12 @@
         let state = pool.state(*id).map(|(_, state)| state);
         state == Some(ConnectionState::Idle(*id))
     };
-    let idle: Vec<_> = (1..=most + 3).filter(is_idle).collect();
-    let newest: Vec<_> = (4..=most + 3).collect();
-    assert_eq!(idle, newest, "those used last stay");
-    assert!(pool.state(in_use).is_some(), "one in use is not counted");
-    assert_eq!(pool.take_idle(2, ATTEMPT, most + 4), None);
+    let idle: Vec<_> = (1..=limit + 3).filter(is_idle).collect();
+    let newest: Vec<_> = (4..=limit + 3).collect();
+    assert_eq!(idle, newest, "the most recently used ones are kept");
+    assert!(
+        pool.state(in_use).is_some(),
+        "a connection in use does not count"
+    );
+    assert_eq!(pool.take_idle(2, ATTEMPT, limit + 4), None);
 }
--- a/crates/cache-router/tests/http.rs
+++ b/crates/cache-router/tests/http.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_head_that_leaves_the_end_of_its_body_in_doubt_is_malformed() {
+fn a_head_with_an_invalid_or_ambiguous_body_length_is_an_error() {
     let cases = [
         (
             "Content-Length: 3\r\nContent-Length: 16\r\n",
@@ -39,10 +39,13 @@
     for (headers, error) in cases {
         assert_eq!(parse_headers(headers), Err(error), "{headers:?}");
     }
-    let twice = parse_headers("Content-Length: 16\r\nContent-Length: 16\r\n")
+    let repeated = parse_headers("Content-Length: 16\r\nContent-Length: 16\r\n")
         .unwrap()
         .unwrap();
-    assert_eq!((twice.content_length, twice.chunked), (Some(16), false));
+    assert_eq!(
+        (repeated.content_length, repeated.chunked),
+        (Some(16), false)
+    );
     let chunked = parse_headers("Transfer-Encoding: gzip\r\nTransfer-Encoding: chunked\r\n")
         .unwrap()
         .unwrap();
@@ -50,20 +53,20 @@
 }
 
 #[test]
-fn chunks_are_joined_however_they_are_cut() {
+fn a_chunked_body_is_decoded_whatever_the_size_of_each_read() {
     let stream = b"5\r\nhello\r\n1;x=y\r\n!\r\n0\r\n\r\n";
     for step in 1..stream.len() {
         let mut decoder = ChunkDecoder::default();
         let mut input = BytesMut::new();
         let mut body = BytesMut::new();
-        let mut ended = false;
-        for part in stream.chunks(step) {
-            input.extend_from_slice(part);
-            ended = decoder.decode(&mut input, &mut body).unwrap();
+        let mut is_complete = false;
+        for bytes in stream.chunks(step) {
+            input.extend_from_slice(bytes);
+            is_complete = decoder.decode(&mut input, &mut body).unwrap();
         }
         assert!(
-            ended && &body[..] == b"hello!",
-            "in steps of {step}: {body:?}"
+            is_complete && &body[..] == b"hello!",
+            "in reads of {step} bytes: {body:?}"
         );
     }
     let mut invalid = BytesMut::from("zz\r\n");
--- a/crates/cache-router/tests/resp.rs
+++ b/crates/cache-router/tests/resp.rs
@@ -10,7 +10,7 @@
 use cache_router::resp::{MAX_VALUE_BYTES, Value, encode_command, take_command, take_value};
 
 #[test]
-fn a_command_is_taken_only_once_it_is_complete() {
+fn a_command_is_returned_only_when_it_is_complete() {
     let command = encode_command(&[b"OBJ.GET", b"k", b"i", b"c=read"]);
     for cut in 0..command.len() {
         let mut incomplete = BytesMut::from(&command[..cut]);
@@ -19,14 +19,14 @@
     }
     let mut both = BytesMut::from(&[&command[..], &command[..]].concat()[..]);
     for _ in 0..2 {
-        let words = take_command(&mut both).unwrap().unwrap();
-        assert_eq!(words, [&b"OBJ.GET"[..], b"k", b"i", b"c=read"]);
+        let arguments = take_command(&mut both).unwrap().unwrap();
+        assert_eq!(arguments, [&b"OBJ.GET"[..], b"k", b"i", b"c=read"]);
     }
     assert!(both.is_empty());
 }
 
 #[test]
-fn malformed_or_too_long_input_is_an_error_at_once() {
+fn malformed_or_oversized_input_is_an_error_at_once() {
     for invalid in [
         "GET k\r\n",
         "*17\r\n",
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_command_of_many_long_words_is_rejected_before_it_is_complete() {
+fn a_command_of_many_long_arguments_is_rejected_before_it_is_complete() {
     let value = vec![b'v'; MAX_VALUE_BYTES];
     let longest = encode_command(&[b"OBJ.SET", &[b'k'; 512], &[b'i'; 512], &[b'f'; 512], &value]);
     assert_eq!(
@@ -60,12 +60,12 @@
             .len(),
         5
     );
-    let many = encode_command(&[&value[..]; 16]);
-    assert!(take_command(&mut BytesMut::from(&many[..2 * MAX_VALUE_BYTES])).is_err());
+    let oversized = encode_command(&[&value[..]; 16]);
+    assert!(take_command(&mut BytesMut::from(&oversized[..2 * MAX_VALUE_BYTES])).is_err());
 }
 
 #[test]
-fn replies_are_read_and_deep_nesting_is_an_error() {
+fn replies_are_decoded_and_deep_nesting_is_an_error() {
     let mut replies = BytesMut::from("*3\r\n$2\r\nab\r\n$-1\r\n$3\r\nhit\r\n-BUSY\r\n:7\r\n");
     let bulk = |text: &'static str| Value::BulkString(Some(Bytes::from_static(text.as_bytes())));
     let array = Value::Array(vec![bulk("ab"), Value::BulkString(None), bulk("hit")]);
