--- a/crates/cache-router/tests/router_process/configuration.rs
+++ b/crates/cache-router/tests/router_process/configuration.rs
@@ -1,16 +1,16 @@
-//! The configuration file: at the start, and when it changes.
+//! The configuration file at startup and on reload.
 
 use std::net::TcpListener;
 use std::process::Command;
 use std::time::{Duration, Instant};
 
 use crate::support::{
-    Behaviour, FakeDiscovery, PATIENCE, RouterProcess, cache_server, complete_list, config_file,
-    endpoint, endpoint_list, failing_origin, hit, read, settings, watch_with,
+    Behaviour, FakeDiscovery, RouterProcess, TEST_TIMEOUT, cache_server, complete_list,
+    config_file, endpoint, endpoint_list, failing_origin, hit, read, settings, watch_with,
 };
 
 #[test]
-fn a_configuration_that_is_unusable_is_reported_in_its_last_line_with_exit_code_2() {
+fn an_unusable_configuration_is_reported_in_the_last_log_line_with_exit_code_2() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let listening_on = |listen: &str| {
@@ -23,8 +23,8 @@
     let invalid_address = listening_on("nowhere");
     let not_json = "{";
     let wrong_type = r#"{"settings":{"classes":3}}"#;
-    // What may pass is tried again for a while, which is said in one line before.
-    for (text, may_pass) in [
+    // A failure that may be temporary is retried for a while; one log line before the last says so.
+    for (text, may_be_temporary) in [
         (Some(not_json), true),
         (Some("{}"), false),
         (Some(wrong_type), false),
@@ -47,16 +47,20 @@
         }
         let report = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(2), "{text:?}: {report}");
-        let waiting = report.lines().filter(|line| line.contains("trying again"));
-        assert_eq!(waiting.count(), usize::from(may_pass), "{text:?}: {report}");
+        let retry_lines = report.lines().filter(|line| line.contains("trying again"));
+        assert_eq!(
+            retry_lines.count(),
+            usize::from(may_be_temporary),
+            "{text:?}: {report}"
+        );
         let errors = report
             .lines()
             .filter(|line| line.starts_with("cache-router: "));
         assert_eq!(errors.count(), 1, "{text:?}: {report}");
-        let line_count = 1 + usize::from(may_pass);
+        let line_count = 1 + usize::from(may_be_temporary);
         assert_eq!(report.lines().count(), line_count, "{text:?}: {report}");
         assert!(!report.contains("panicked"), "{report}");
-        // What is no JSON of the right form is reported with the file and the position in it.
+        // Malformed JSON and a wrong type are reported with the file and the position in it.
         if text == Some(not_json) || text == Some(wrong_type) {
             let file = path.as_ref().unwrap().display().to_string();
             assert!(report.contains(&file), "{report}");
@@ -66,12 +70,12 @@
 }
 
 #[test]
-fn on_sighup_discovery_is_called_at_its_new_address_and_an_unusable_file_changes_nothing() {
+fn on_sighup_discovery_is_called_at_its_new_address_and_an_unusable_file_is_ignored() {
     let old = cache_server(|_| Behaviour::Respond(hit("old")));
     let new = cache_server(|_| Behaviour::Respond(hit("new")));
     let origin = failing_origin();
     let old_discovery = FakeDiscovery::unchanging();
-    // Its versions begin anew: what it reports is no older for that.
+    // Its versions start again from 1; the router must not take its list for an older one.
     let endpoints = [
         endpoint("s-2", new.address, "std", "active"),
         endpoint("o-1", origin.address, "origin", "active"),
@@ -80,21 +84,21 @@
     let new_discovery = FakeDiscovery::with_responses(vec![watch_with(&list)]);
     let router = RouterProcess::start(old_discovery.address, &complete_list(&old, &origin));
     let mut client = router.client();
-    assert_eq!(client.ask(&read("aa", "1")).unwrap(), "old");
+    assert_eq!(client.execute(&read("aa", "1")).unwrap(), "old");
     assert!(old_discovery.next_call().contains("watch=1"));
     router.reconfigure(r#""discovery":""#, r#""discovery":"nowhere"#);
-    assert!(router.logs(|line| line.contains("as it was")));
-    assert_eq!(client.ask(&read("aa", "2")).unwrap(), "old");
+    assert!(router.wait_for_log_line(|line| line.contains("as it was")));
+    assert_eq!(client.execute(&read("aa", "2")).unwrap(), "old");
     router.reconfigure(
         &old_discovery.address.to_string(),
         &new_discovery.address.to_string(),
     );
     let call = new_discovery.next_call();
-    let complete_list = "GET /v1/servers?watch=1 HTTP/1.1";
-    assert_eq!(call, complete_list);
-    let end = Instant::now() + PATIENCE;
-    while client.ask(&read("aa", "3")).unwrap() != "new" {
-        assert!(Instant::now() < end, "the new list is not in force");
+    let call_for_complete_list = "GET /v1/servers?watch=1 HTTP/1.1";
+    assert_eq!(call, call_for_complete_list);
+    let end = Instant::now() + TEST_TIMEOUT;
+    while client.execute(&read("aa", "3")).unwrap() != "new" {
+        assert!(Instant::now() < end, "the new list is not used");
     }
 }
 
@@ -109,26 +113,24 @@
     let new_discovery = FakeDiscovery::with_responses(vec![watch_with(&list)]);
     let old_address = old_discovery.address.to_string();
     let new_address = new_discovery.address.to_string();
-    // Cut off, empty, or as it was before: each time the signal comes before the new file.
-    for part in [0.5, 0.0, 1.0] {
+    // The file is truncated, empty or unchanged. In each case the signal arrives before the new file is written.
+    for fraction in [0.5, 0.0, 1.0] {
         let cached_list = complete_list(&old, &origin);
         let router = RouterProcess::start(old_discovery.address, &cached_list);
         let short_wait = Duration::from_millis(500);
         let _ = old_discovery.calls.recv_timeout(short_wait);
-        router.write_config("", "", part);
+        router.write_config("", "", fraction);
         router.signal("HUP");
         std::thread::sleep(Duration::from_millis(30));
         router.write_config(&old_address, &new_address, 1.0);
-        if part == 0.5 {
+        if fraction == 0.5 {
             let call = new_discovery.next_call();
             assert_eq!(call, "GET /v1/servers?watch=1 HTTP/1.1");
         } else {
-            // The fake answers one call only; the log shows that the router calls it.
-            assert!(
-                router.logs(|line| {
-                    line.contains("discovery is at") && line.contains(&new_address)
-                })
-            );
+            // The fake answers one call only; that the router uses its address is visible in the log.
+            assert!(router.wait_for_log_line(|line| {
+                line.contains("discovery is at") && line.contains(&new_address)
+            }));
         }
     }
 }
--- a/crates/cache-router/tests/router_process/final_replies.rs
+++ b/crates/cache-router/tests/router_process/final_replies.rs
@@ -1,17 +1,19 @@
-//! Requests that were read get a final reply, whatever ends their connection.
+//! A request that the router has read gets a final reply, whatever ends its connection.
 
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
 use crate::support::{
-    Behaviour, Cluster, StartOptions, cache_server, command, hit, read, read_within, settings,
+    Behaviour, Cluster, StartOptions, cache_server, command, hit, read, read_with_deadline,
+    settings,
 };
 
-/// How long a router that may be killed 3.7 s after SIGTERM may take for all replies, and far less than eight seconds.
-const LAST_REPLY_WITHIN: Duration = Duration::from_secs(7);
+/// The maximum time from SIGTERM to the last reply. The platform may kill a router 3.7 s after SIGTERM. The limit is
+/// also below the longest deadline of eight seconds.
+const MAX_TIME_TO_LAST_REPLY: Duration = Duration::from_secs(7);
 
 #[test]
-fn requests_with_any_deadline_are_answered_in_a_shutdown_though_the_servers_hang() {
+fn requests_with_any_deadline_get_replies_during_shutdown_when_servers_hang() {
     for deadline_ms in [100, 1_000, 8_000] {
         let cluster_settings = settings().replace("8000000", &format!("{deadline_ms}000"));
         let options = StartOptions {
@@ -21,12 +23,12 @@
         let cache = cache_server(|_| Behaviour::Hang);
         let mut cluster = Cluster::with_cache_and_options(cache, options);
         let mut clients: Vec<_> = (0..3).map(|_| cluster.client()).collect();
-        clients[0].send(&read_within("1", deadline_ms));
+        clients[0].send(&read_with_deadline("1", deadline_ms));
         cluster.cache.next_request();
-        // Half a command behind one in service; one that the router may read only after SIGTERM.
-        let half_command = &read("aa", "3")[..20];
-        clients[1].send(&[&read_within("2", deadline_ms), half_command].concat());
-        clients[2].send(&read_within("4", deadline_ms));
+        // An incomplete command after a request in progress, and a request that the router may read only after SIGTERM.
+        let incomplete_command = &read("aa", "3")[..20];
+        clients[1].send(&[&read_with_deadline("2", deadline_ms), incomplete_command].concat());
+        clients[2].send(&read_with_deadline("4", deadline_ms));
         cluster.router.terminate();
         let terminated_at = Instant::now();
         for (number, client) in clients.iter_mut().enumerate() {
@@ -34,10 +36,13 @@
             let reply = reply.unwrap_or_else(|| panic!("{deadline_ms} ms: no reply to {number}"));
             assert!(reply.starts_with('-'), "{reply}");
         }
-        assert!(terminated_at.elapsed() <= LAST_REPLY_WITHIN);
-        assert!(clients[1].reply().is_some(), "the half command is answered");
+        assert!(terminated_at.elapsed() <= MAX_TIME_TO_LAST_REPLY);
+        assert!(
+            clients[1].reply().is_some(),
+            "the incomplete command gets a reply"
+        );
         for client in &mut clients {
-            assert_eq!(client.reply(), None, "it is closed in order");
+            assert_eq!(client.reply(), None, "closed without a reset");
         }
         cluster.router.assert_exits_with_success();
     }
@@ -45,15 +50,15 @@
 
 #[test]
 fn a_client_that_ends_its_sending_has_a_final_reply_and_no_further_attempt() {
-    let cache = cache_server(|words| match words[1].as_str() {
+    let cache = cache_server(|parts| match parts[1].as_str() {
         "ee" => Behaviour::Hang,
         key => Behaviour::Respond(hit(key)),
     });
     let cluster = Cluster::with_cache(cache);
     let mut client = cluster.client();
     client.send(&[read("ee", "1"), read("aa", "2")].concat());
-    let in_service = [cluster.cache.next_request(), cluster.cache.next_request()];
-    assert!(in_service.iter().any(|request| request.words[1] == "ee"));
+    let in_progress = [cluster.cache.next_request(), cluster.cache.next_request()];
+    assert!(in_progress.iter().any(|request| request.parts[1] == "ee"));
     client.output.shutdown(Shutdown::Write).unwrap();
     assert_eq!(client.reply().unwrap(), "-ERR failed");
     let second = client.reply().unwrap();
@@ -61,14 +66,14 @@
     assert_eq!(client.reply(), None);
     let attempts = cluster.cache.requests.try_iter();
     assert_eq!(
-        attempts.filter(|request| !request.words.is_empty()).count(),
+        attempts.filter(|request| !request.parts.is_empty()).count(),
         0
     );
 }
 
 #[test]
-fn a_request_behind_malformed_bytes_is_not_served_and_those_before_them_are() {
-    let cache = cache_server(|words| Behaviour::Respond(hit(&words[1])));
+fn requests_before_malformed_input_are_served_and_a_command_after_it_is_not() {
+    let cache = cache_server(|parts| Behaviour::Respond(hit(&parts[1])));
     let cluster = Cluster::with_cache(cache);
     let mut client = cluster.client();
     let mut bytes = [read("aa", "1"), read("bb", "2")].concat();
--- a/crates/cache-router/tests/router_process/log.rs
+++ b/crates/cache-router/tests/router_process/log.rs
@@ -1,4 +1,4 @@
-//! Logs that cannot be written: the router goes on, and ends in order.
+//! A router whose log cannot be written keeps serving and exits normally.
 
 use std::process::Command;
 
@@ -6,26 +6,26 @@
     Behaviour, Cluster, LogReader, StartOptions, cache_server, hit, read, wait_until,
 };
 
-/// More requests than fill a pipe with the lines of their trace.
+/// Enough requests for their trace lines to fill a pipe.
 const REQUESTS: usize = 400;
 
-/// Has a router that writes its trace serve requests, and ends it.
-fn serves_with_log(log_reader: LogReader, shell_command: &'static str) {
-    let cache = cache_server(|words| Behaviour::Respond(hit(&words[1])));
+/// Checks that a router with its trace enabled serves requests and exits normally.
+fn assert_serves_and_exits(log_reader: LogReader, shell_command: &'static str) {
+    let cache = cache_server(|parts| Behaviour::Respond(hit(&parts[1])));
     let options = StartOptions {
         log_reader,
         shell_command,
-        has_trace: true,
+        trace_enabled: true,
         ..StartOptions::default()
     };
     let mut cluster = Cluster::with_cache_and_options(cache, options);
     let mut client = cluster.client();
     let mut numbers = 0..;
     for _ in 0..REQUESTS {
-        // A stall of a busy machine may reject some.
+        // The router may reject some requests while a busy machine stalls.
         wait_until("requests are served", || {
             let number: u32 = numbers.next().unwrap();
-            client.ask(&read("aa", &number.to_string())).unwrap() == "aa"
+            client.execute(&read("aa", &number.to_string())).unwrap() == "aa"
         });
     }
     drop(client);
@@ -34,22 +34,22 @@
 }
 
 #[test]
-fn a_router_whose_log_nobody_reads_serves_and_ends() {
-    serves_with_log(LogReader::Stalled, "");
+fn a_router_whose_log_pipe_is_full_serves_and_exits() {
+    assert_serves_and_exits(LogReader::Stalled, "");
 }
 
 #[test]
-fn a_router_whose_log_has_lost_its_reader_serves_and_ends() {
-    serves_with_log(LogReader::Gone, "");
+fn a_router_whose_log_pipe_is_closed_serves_and_exits() {
+    assert_serves_and_exits(LogReader::Closed, "");
 }
 
 #[test]
-fn a_router_whose_log_is_on_a_full_disk_serves_and_ends() {
-    serves_with_log(LogReader::Gone, "exec 2>/dev/full;");
+fn a_router_whose_log_is_on_a_full_disk_serves_and_exits() {
+    assert_serves_and_exits(LogReader::Closed, "exec 2>/dev/full;");
 }
 
 #[test]
-fn a_router_that_cannot_start_exits_with_code_2_though_nobody_reads_its_log() {
+fn a_router_that_cannot_start_exits_with_code_2_when_its_log_cannot_be_written() {
     for redirection in ["exec 2>/dev/full;", "exec 2>&-;"] {
         let program = env!("CARGO_BIN_EXE_cache-router");
         let status = Command::new("/bin/sh")
--- a/crates/cache-router/tests/router_process/main.rs
+++ b/crates/cache-router/tests/router_process/main.rs
@@ -1,4 +1,4 @@
-//! The router as a process, over loopback sockets: one test for each failure that must not happen.
+//! Tests of the router as a process, over loopback sockets. Each test guards against one failure.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
--- a/crates/cache-router/tests/router_process/production.rs
+++ b/crates/cache-router/tests/router_process/production.rs
@@ -1,4 +1,5 @@
-//! Kinds of trouble that production adds to the fleet test: `docs/FLEET.md` has the table. Each test prints its figure.
+//! Kinds of failure that occur in production in addition to those of the fleet test. `docs/FLEET.md` lists them in a
+//! table. Each test prints its figure.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{ErrorKind, Read, Write};
@@ -6,49 +7,49 @@
 
 use crate::support::{
     Behaviour, Client, Cluster, FakeDiscovery, RouterProcess, cache_server, complete_list,
-    endpoint, endpoint_list, failing_origin, hit, http, miss, origin_server, read, read_within,
-    wait_until, watch_with, write,
+    endpoint, endpoint_list, failing_origin, hit, http, miss, origin_server, read,
+    read_with_deadline, wait_until, watch_with, write,
 };
 
-/// Until its first reply ends, or its connection does.
-fn time_to_end(client: &mut Client, since: Instant) -> Duration {
+/// The time from `since` until the router has closed the client's connection.
+fn time_to_close(client: &mut Client, since: Instant) -> Duration {
     let mut rest = Vec::new();
     let end = client.input.read_to_end(&mut rest);
     assert!(
         !matches!(&end, Err(error) if error.kind() == ErrorKind::WouldBlock),
-        "it stays open"
+        "the connection stays open"
     );
     since.elapsed()
 }
 
 #[test]
 fn a_client_that_stops_after_any_byte_of_a_request_and_stays_is_closed() {
-    let cache = cache_server(|words| Behaviour::Respond(hit(&words[1])));
+    let cache = cache_server(|parts| Behaviour::Respond(hit(&parts[1])));
     let cluster = Cluster::with_cache(cache);
     let request = write("aa", "1", "value");
     let mut stopped = Vec::new();
     for length in 1..request.len() {
         let mut client = cluster.client();
         if length % 2 == 0 {
-            // Half of them were served before.
-            assert_eq!(client.ask(&read("bb", "0")).unwrap(), "bb");
+            // Half of the clients have been served before.
+            assert_eq!(client.execute(&read("bb", "0")).unwrap(), "bb");
         }
         client.send(&request[..length]);
         stopped.push((client, Instant::now()));
     }
     let mut other = cluster.client();
-    assert_eq!(other.ask(&read("cc", "2")).unwrap(), "cc");
+    assert_eq!(other.execute(&read("cc", "2")).unwrap(), "cc");
     let times = stopped
         .iter_mut()
-        .map(|(client, since)| time_to_end(client, *since));
+        .map(|(client, since)| time_to_close(client, *since));
     let (count, longest) = (request.len() - 1, times.max().unwrap());
     println!("{count} clients that stopped, the last was closed after {longest:?}");
-    assert_eq!(other.ask(&read("cc", "3")).unwrap(), "cc");
+    assert_eq!(other.execute(&read("cc", "3")).unwrap(), "cc");
 }
 
 #[test]
 fn requests_with_little_time_that_servers_drop_have_replies_and_harm_no_other() {
-    let cache = cache_server(|words| match words[1].as_str() {
+    let cache = cache_server(|parts| match parts[1].as_str() {
         "aa" => Behaviour::Hang,
         key => Behaviour::Respond(hit(key)),
     });
@@ -58,7 +59,7 @@
         let deadline_ms = 1 + number % 30;
         let mut client = cluster.client();
         let since = Instant::now();
-        let reply = client.ask(&read_within(&number.to_string(), deadline_ms));
+        let reply = client.execute(&read_with_deadline(&number.to_string(), deadline_ms));
         assert!(
             reply.as_deref().unwrap_or("none").starts_with('-'),
             "{reply:?}"
@@ -67,13 +68,19 @@
         latest = latest.max(since.elapsed().saturating_sub(deadline));
     }
     let served = (0..60)
-        .filter(|id| cluster.client().ask(&read("bb", &id.to_string())).unwrap() == "bb")
+        .filter(|id| {
+            cluster
+                .client()
+                .execute(&read("bb", &id.to_string()))
+                .unwrap()
+                == "bb"
+        })
         .count();
     println!("60 replies, at most {latest:?} after their time; {served} of 60 others served after");
     assert_eq!(served, 60);
 }
 
-/// What became of a request that a client sent on a resting connection.
+/// The outcome of a request that a client sent on an idle connection.
 fn outcome(client: &mut Client) -> &'static str {
     let mut reply = Vec::new();
     match client.input.read_to_end(&mut reply) {
@@ -86,20 +93,20 @@
 
 #[test]
 fn requests_that_cross_the_end_of_a_resting_connection_are_replied_or_not_taken() {
-    let cache = cache_server(|words| Behaviour::Respond(hit(&words[1])));
+    let cache = cache_server(|parts| Behaviour::Respond(hit(&parts[1])));
     let mut cluster = Cluster::with_cache(cache);
     let mut clients: Vec<_> = (0..60).map(|_| cluster.client()).collect();
     for client in &mut clients {
-        assert!(client.finds_router_ready());
+        assert!(client.is_router_ready());
     }
     cluster.router.terminate();
     let mut outcomes = BTreeMap::new();
     let mut unanswered = BTreeSet::new();
     for (number, client) in clients.iter_mut().enumerate() {
-        // Spread over the time in which resting connections are closed.
+        // Spreads the requests over the time in which the router closes idle connections.
         std::thread::sleep(Duration::from_millis(10));
         let id = format!("r{number}");
-        // One that is closed already may refuse it.
+        // The write may fail on a connection that is already closed.
         let _ = client.output.write_all(&read("aa", &id));
     }
     for (number, client) in clients.iter_mut().enumerate() {
@@ -114,9 +121,9 @@
         .cache
         .requests
         .try_iter()
-        .map(|request| request.words);
+        .map(|request| request.parts);
     let lost = received
-        .filter(|words| words.get(2).is_some_and(|id| unanswered.contains(id)))
+        .filter(|parts| parts.get(2).is_some_and(|id| unanswered.contains(id)))
         .count();
     println!("{outcomes:?}, {lost} forwarded and not replied");
     assert_eq!(lost, 0);
@@ -135,14 +142,14 @@
     let last = FakeDiscovery::with_responses(vec![watch_with(&list)]);
     let router = RouterProcess::start(first.address, &complete_list(&cache, &origin));
     let mut client = router.client();
-    assert_eq!(client.ask(&read("aa", "1")).unwrap(), "first");
+    assert_eq!(client.execute(&read("aa", "1")).unwrap(), "first");
     let since = Instant::now();
     for next in between.iter().chain([&last]) {
         router.reconfigure(&first.address.to_string(), &next.address.to_string());
         std::thread::sleep(Duration::from_millis(50));
     }
     wait_until("the last configuration is in force", || {
-        client.ask(&read("aa", "2")).unwrap() == "last"
+        client.execute(&read("aa", "2")).unwrap() == "last"
     });
     println!(
         "five configurations in a row: the last in force {:?} after the first",
@@ -157,26 +164,26 @@
     let cluster = Cluster::start(cache, origin);
     let mut client = cluster.client();
     for id in 0..20 {
-        let reply = client.ask(&read("aa", &id.to_string())).unwrap();
+        let reply = client.execute(&read("aa", &id.to_string())).unwrap();
         assert!(reply.starts_with('-'), "{reply}");
     }
     let mut attempts = BTreeMap::new();
     for request in cluster.cache.requests.try_iter() {
-        if let Some(id) = request.words.get(2) {
+        if let Some(id) = request.parts.get(2) {
             *attempts.entry(id.clone()).or_insert(0) += 1;
         }
     }
     let most = attempts.values().copied().max().unwrap_or(0);
     println!("20 replies, at most {most} attempts at cache servers for one request");
-    assert!(most <= 4, "maxAttempts of the settings");
+    assert!(most <= 4, "at most maxAttempts of the settings");
 }
 
 #[test]
 fn reads_that_meet_the_close_or_reset_of_an_idle_connection_are_served_or_refused() {
     const READS: usize = 50;
     for resets in [false, true] {
-        let cache = cache_server(move |words| {
-            let response = hit(&words[1]);
+        let cache = cache_server(move |parts| {
+            let response = hit(&parts[1]);
             if resets {
                 Behaviour::RespondAndReset(response)
             } else {
@@ -185,8 +192,8 @@
         });
         let cluster = Cluster::with_cache(cache);
         let mut client = cluster.client();
-        let replies = (0..READS).map(|id| client.ask(&read("aa", &id.to_string())).unwrap());
-        // A read may be sent again, but only as often as the retry budget allows.
+        let replies = (0..READS).map(|id| client.execute(&read("aa", &id.to_string())).unwrap());
+        // A read may be retried, but only as often as the retry budget allows.
         let (served, refused): (Vec<_>, Vec<_>) = replies.partition(|reply| reply == "aa");
         println!("{} of {READS} served, resets: {resets}", served.len());
         assert!(
@@ -198,7 +205,7 @@
 }
 
 #[test]
-fn a_miss_is_fetched_while_nothing_is_wrong() {
+fn a_miss_is_fetched_from_a_healthy_origin() {
     let cache = cache_server(|_| Behaviour::Respond(miss()));
     let origin = origin_server(|_| Behaviour::Respond(http(200, "", "made")));
     let cluster = Cluster::start(cache, origin);
@@ -206,7 +213,7 @@
     let served = (0..100)
         .filter(|id| {
             client
-                .ask(&read(&format!("{id:x}"), &id.to_string()))
+                .execute(&read(&format!("{id:x}"), &id.to_string()))
                 .unwrap()
                 == "made"
         })
@@ -240,7 +247,7 @@
         since.elapsed()
     );
     assert_eq!(replied, 20);
-    // Far from the deadline of eight seconds: the platform kills after 3.7 s.
+    // Well before the deadline of eight seconds: the platform kills the router 3.7 s after SIGTERM.
     assert!(last_reply < Duration::from_secs(6), "{last_reply:?}");
 }
 
@@ -253,7 +260,7 @@
     let served = (0..20)
         .filter(|id| {
             client
-                .ask(&read(&format!("{id:x}"), &id.to_string()))
+                .execute(&read(&format!("{id:x}"), &id.to_string()))
                 .unwrap()
                 == "whole"
         })
--- a/crates/cache-router/tests/router_process/requests.rs
+++ b/crates/cache-router/tests/router_process/requests.rs
@@ -1,4 +1,4 @@
-//! What clients send and what they are replied.
+//! Commands of clients and the replies to them.
 
 use std::io::Write;
 use std::time::{Duration, Instant};
@@ -8,7 +8,7 @@
     write,
 };
 
-/// The remaining deadline in milliseconds that a request to a server states in its fields.
+/// The remaining time in milliseconds that a request to a server states in its fields.
 fn stated_deadline_ms(fields: &str) -> u64 {
     let (others, deadline) = fields.split_once("d=").unwrap();
     assert_eq!(others, "c=read,t=acme,");
@@ -16,17 +16,17 @@
 }
 
 /// The fields of a request to the origin.
-fn fields_header(words: &[String]) -> &str {
-    words
+fn fields_header(parts: &[String]) -> &str {
+    parts
         .iter()
         .find_map(|header| header.strip_prefix("X-Facts: "))
-        .unwrap_or_else(|| panic!("no fields in {words:?}"))
+        .unwrap_or_else(|| panic!("no fields in {parts:?}"))
 }
 
 #[test]
-fn hits_misses_and_writes_are_served_and_fields_beside_the_deadline_forwarded_unchanged() {
-    let cache = cache_server(|words| {
-        Behaviour::Respond(if words[1] == "aa" {
+fn hits_misses_and_writes_are_served_and_fields_other_than_the_deadline_forwarded_unchanged() {
+    let cache = cache_server(|parts| {
+        Behaviour::Respond(if parts[1] == "aa" {
             hit("kept")
         } else {
             miss()
@@ -35,20 +35,20 @@
     let origin = origin_server(|_| Behaviour::Respond(http(200, "", "made")));
     let cluster = Cluster::start(cache, origin);
     let mut client = cluster.client();
-    assert!(client.finds_router_ready());
-    assert_eq!(client.ask(&read("aa", "1d")).unwrap(), "kept");
-    let looked_up = cluster.cache.next_request().words;
+    assert!(client.is_router_ready());
+    assert_eq!(client.execute(&read("aa", "1d")).unwrap(), "kept");
+    let looked_up = cluster.cache.next_request().parts;
     assert_eq!(looked_up[..3], ["OBJ.GET", "aa", "1d"]);
     let deadline = stated_deadline_ms(&looked_up[3]);
     assert!((1..=8000).contains(&deadline), "{deadline}");
-    assert_eq!(client.ask(&read("bb", "2d")).unwrap(), "made");
-    let fetched = cluster.origin.next_request().words;
+    assert_eq!(client.execute(&read("bb", "2d")).unwrap(), "made");
+    let fetched = cluster.origin.next_request().parts;
     assert_eq!(fetched[0], "GET /bb HTTP/1.1");
     assert!(fetched.contains(&"X-Correlation-Id: 2d".to_string()));
     let deadline = stated_deadline_ms(fields_header(&fetched));
     assert!((1..=8000).contains(&deadline), "{deadline}");
-    assert_eq!(client.ask(&write("cc", "3d", "new")).unwrap(), "made");
-    let written = cluster.origin.next_request().words;
+    assert_eq!(client.execute(&write("cc", "3d", "new")).unwrap(), "made");
+    let written = cluster.origin.next_request().parts;
     assert_eq!(written.first().unwrap(), "PUT /cc HTTP/1.1");
     assert_eq!(written.last().unwrap(), "new");
 }
@@ -62,23 +62,23 @@
     let mut client = cluster.client();
     client.send(&read("aa", "1"));
     cluster.cache.next_request();
-    // The time between the two attempts does not remain at the second. It is measured from when the router has surely
-    // received the request.
+    // The remaining time of the second attempt must not include the time since the first attempt. The test measures
+    // that time from a moment at which the router has certainly received the request.
     let first_attempt_at = Instant::now();
     while first_attempt_at.elapsed() < Duration::from_millis(300) {
         std::thread::yield_now();
     }
     open.send(()).unwrap();
-    let fetched = cluster.origin.next_request().words;
+    let fetched = cluster.origin.next_request().parts;
     let deadline = stated_deadline_ms(fields_header(&fetched));
     assert!((1..=7_700).contains(&deadline), "{deadline}");
     assert_eq!(client.reply().unwrap(), "made");
 }
 
 #[test]
-fn pipelined_commands_are_replied_in_order_and_a_slow_one_delays_no_other_server_request() {
+fn pipelined_commands_get_replies_in_order_and_a_slow_one_delays_no_other_server_request() {
     let (open, gate) = Gate::new();
-    let cache = cache_server(move |words| match words[1].as_str() {
+    let cache = cache_server(move |parts| match parts[1].as_str() {
         "ee" => gate.respond(hit("slow")),
         key => Behaviour::Respond(hit(key)),
     });
@@ -94,12 +94,16 @@
     for part in pipeline.chunks(7) {
         client.send(part);
     }
-    let next_key = || cluster.cache.next_request().words[1].clone();
+    let next_key = || cluster.cache.next_request().parts[1].clone();
     let mut keys = [next_key(), next_key(), next_key()];
     keys.sort();
-    assert_eq!(keys, ["ee", "f1", "f2"], "none waits for the slow response");
-    let other_client = cluster.client().ask(&read("f3", "4")).unwrap();
-    assert_eq!(other_client, "f3", "nor does another client");
+    assert_eq!(
+        keys,
+        ["ee", "f1", "f2"],
+        "no request waits for the slow response"
+    );
+    let other_client = cluster.client().execute(&read("f3", "4")).unwrap();
+    assert_eq!(other_client, "f3", "another client does not wait either");
     open.send(()).unwrap();
     for expected in ["slow", "f1", "+PONG", "f2"] {
         assert_eq!(client.reply().unwrap(), expected);
@@ -107,8 +111,8 @@
 }
 
 #[test]
-fn malformed_input_is_replied_with_an_error_and_a_close_and_harms_no_other_client() {
-    let cluster = Cluster::with_cache(cache_server(|words| Behaviour::Respond(hit(&words[1]))));
+fn malformed_input_gets_an_error_and_a_close_and_affects_no_other_client() {
+    let cluster = Cluster::with_cache(cache_server(|parts| Behaviour::Respond(hit(&parts[1]))));
     let mut other = cluster.client();
     for malformed in [
         &b"GET / HTTP/1.1\r\n\r\n"[..],
@@ -119,10 +123,14 @@
         let mut client = cluster.client();
         client.send(&read("aa", "1"));
         client.send(malformed);
-        assert_eq!(client.reply().unwrap(), "aa", "sent before");
+        assert_eq!(
+            client.reply().unwrap(),
+            "aa",
+            "sent before the malformed input"
+        );
         assert!(client.reply().unwrap().starts_with("-ERR"), "{malformed:?}");
         assert_eq!(client.reply(), None, "closed after {malformed:?}");
-        assert_eq!(other.ask(&read("bb", "2")).unwrap(), "bb");
+        assert_eq!(other.execute(&read("bb", "2")).unwrap(), "bb");
     }
     for invalid in [
         command(&["OBJ.GET", "aa", "9", "c=nope,t=acme,d=100"]),
@@ -130,9 +138,12 @@
         command(&["OBJ.GET", "a\r\nb", "9", "c=read,t=acme,d=100"]),
         command(&["FLUSHALL"]),
     ] {
-        let reply = other.ask(&invalid).unwrap();
-        assert!(reply.starts_with("-ERR"), "well framed: {reply}");
-        let next = other.ask(&read("cc", "3")).unwrap();
+        let reply = other.execute(&invalid).unwrap();
+        assert!(
+            reply.starts_with("-ERR"),
+            "invalid but well framed: {reply}"
+        );
+        let next = other.execute(&read("cc", "3")).unwrap();
         assert_eq!(next, "cc", "the connection stays open");
     }
 }
@@ -142,15 +153,15 @@
     let value = "x".repeat(60_000);
     let cluster = Cluster::with_cache(cache_server(move |_| Behaviour::Respond(hit(&value))));
     let mut slow = cluster.client();
-    // It asks for far more than buffers hold, from a thread of its own: its writes may come to a stop.
+    // The client requests far more than the buffers hold. Its writes may block, so a separate thread makes them.
     let mut output = slow.output.try_clone().unwrap();
     let requests = std::thread::spawn(move || {
         (0..200).try_for_each(|id| output.write_all(&read("aa", &id.to_string())))
     });
     let mut other = cluster.client();
-    // The policy may reject while the only server looks full; a stalled router would reply nothing at all.
-    let served =
-        (0..100_000).filter(|id| other.ask(&read("bb", &id.to_string())).unwrap().len() == 60_000);
+    // The policy may reject requests while it considers the only server full. A stalled router would not reply at all.
+    let served = (0..100_000)
+        .filter(|id| other.execute(&read("bb", &id.to_string())).unwrap().len() == 60_000);
     assert_eq!(served.take(5).count(), 5);
     for _ in 0..200 {
         let reply = slow.reply().unwrap();
--- a/crates/cache-router/tests/router_process/server_failures.rs
+++ b/crates/cache-router/tests/router_process/server_failures.rs
@@ -1,22 +1,22 @@
-//! Servers that respond late, twice, wrongly or not at all, and close or lose their connections.
+//! Servers that respond late, twice, incorrectly or not at all, and servers that close or lose their connections.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 
 use crate::support::{
     Behaviour, Cluster, Gate, cache_server, command, hit, http, miss, origin_server, read,
-    read_within, write,
+    read_with_deadline, write,
 };
 
-/// A cache server that has nothing.
+/// A cache server that reports a miss for each key.
 fn empty_cache() -> crate::support::FakeServer {
     cache_server(|_| Behaviour::Respond(miss()))
 }
 
 #[test]
 fn a_write_that_is_not_idempotent_fails_if_its_connection_breaks_after_the_last_byte() {
-    let origin = origin_server(|words| {
-        if words[0].contains("/aa ") {
+    let origin = origin_server(|parts| {
+        if parts[0].contains("/aa ") {
             Behaviour::Close
         } else {
             Behaviour::Respond(http(200, "", "ok"))
@@ -24,11 +24,17 @@
     });
     let cluster = Cluster::start(empty_cache(), origin);
     let mut client = cluster.client();
-    assert_eq!(client.ask(&write("aa", "1", "v")).unwrap(), "-ERR failed");
-    assert_eq!(client.ask(&write("bb", "2", "v")).unwrap(), "ok");
-    let received = || cluster.origin.next_request().words[0].clone();
+    assert_eq!(
+        client.execute(&write("aa", "1", "v")).unwrap(),
+        "-ERR failed"
+    );
+    assert_eq!(client.execute(&write("bb", "2", "v")).unwrap(), "ok");
+    let received = || cluster.origin.next_request().parts[0].clone();
     assert!(received().contains("/aa "));
-    assert!(received().contains("/bb "), "the first was not retried");
+    assert!(
+        received().contains("/bb "),
+        "the first write was not retried"
+    );
 }
 
 #[test]
@@ -42,16 +48,22 @@
     });
     let cluster = Cluster::start(empty_cache(), origin);
     let mut client = cluster.client();
-    let reply = client.ask(&write("aa", "1", "v")).unwrap();
-    assert_eq!(reply, "ok", "a body without a stated length ends there");
-    let reply = client.ask(&write("aa", "2", "v")).unwrap();
-    assert_eq!(reply, "-ERR failed", "without the header it may have run");
+    let reply = client.execute(&write("aa", "1", "v")).unwrap();
+    assert_eq!(
+        reply, "ok",
+        "a rejection without a body length ends with its head"
+    );
+    let reply = client.execute(&write("aa", "2", "v")).unwrap();
+    assert_eq!(
+        reply, "-ERR failed",
+        "without X-Unprocessed it may have run"
+    );
 }
 
 #[test]
 fn a_response_with_two_lengths_is_an_error_and_its_connection_is_closed() {
-    let origin = origin_server(|words| {
-        if words[0].contains("/aa ") {
+    let origin = origin_server(|parts| {
+        if parts[0].contains("/aa ") {
             Behaviour::Respond(http(200, "Content-Length: 3\r\n", "0123456789abcdef"))
         } else {
             Behaviour::Respond(http(200, "", "ok"))
@@ -59,9 +71,9 @@
     });
     let cluster = Cluster::start(empty_cache(), origin);
     let mut client = cluster.client();
-    let reply = client.ask(&write("aa", "1", "v")).unwrap();
+    let reply = client.execute(&write("aa", "1", "v")).unwrap();
     assert_eq!(reply, "-ERR failed", "it may have run");
-    assert_eq!(client.ask(&write("bb", "2", "v")).unwrap(), "ok");
+    assert_eq!(client.execute(&write("bb", "2", "v")).unwrap(), "ok");
 }
 
 #[test]
@@ -69,12 +81,12 @@
     let kinds = [
         "cut", "cuthead", "long", "reset", "endless", "half", "second",
     ];
-    let origin = origin_server(move |words| {
-        let is_for = |kind: &&&str| words[0].contains(&format!("/{kind} "));
+    let origin = origin_server(move |parts| {
+        let is_for = |kind: &&&str| parts[0].contains(&format!("/{kind} "));
         match kinds.iter().find(is_for).copied().unwrap_or("") {
             "cut" => Behaviour::RespondAndClose(truncated_chunks()),
             "cuthead" => Behaviour::RespondAndClose(b"HTTP/1.1 200 OK\r\nX-Lookup".to_vec()),
-            "long" => Behaviour::RespondAndClose(response_without_end_or_length()),
+            "long" => Behaviour::RespondAndClose(oversized_response_without_length()),
             "reset" => Behaviour::RespondAndReset(b"HTTP/1.1 200 OK\r\n\r\nval".to_vec()),
             "endless" => Behaviour::Respond(truncated_response()),
             "half" => Behaviour::RespondAndClose(truncated_response()),
@@ -93,12 +105,12 @@
         } else {
             "-ERR failed"
         };
-        assert_eq!(client.ask(&short_write).unwrap(), expected, "{kind}");
-        let received = cluster.origin.next_request().words;
+        assert_eq!(client.execute(&short_write).unwrap(), expected, "{kind}");
+        let received = cluster.origin.next_request().parts;
         assert!(received[0].contains(&format!("/{kind} ")));
-        let next = client.ask(&write("next", "2", "v")).unwrap();
+        let next = client.execute(&write("next", "2", "v")).unwrap();
         assert_eq!(next, "ok", "after {kind}");
-        let received = cluster.origin.next_request().words;
+        let received = cluster.origin.next_request().parts;
         let is_next = received[0].contains("/next ");
         assert!(is_next, "{kind} was sent once, then {received:?}");
     }
@@ -109,13 +121,13 @@
     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nval\r\n".to_vec()
 }
 
-/// A response without a length that is longer than any value.
-fn response_without_end_or_length() -> Vec<u8> {
+/// A response without a length that exceeds the maximum size of a value.
+fn oversized_response_without_length() -> Vec<u8> {
     let head = b"HTTP/1.1 200 OK\r\n\r\n".to_vec();
     [head, vec![b'v'; 65_537]].concat()
 }
 
-/// A response with fewer bytes than it states.
+/// A response whose body is shorter than its stated length.
 fn truncated_response() -> Vec<u8> {
     b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nval".to_vec()
 }
@@ -126,7 +138,7 @@
     let cluster = Cluster::start(empty_cache(), origin);
     let mut client = cluster.client();
     for id in 0..5 {
-        let reply = client.ask(&write("aa", &id.to_string(), "v")).unwrap();
+        let reply = client.execute(&write("aa", &id.to_string(), "v")).unwrap();
         assert_eq!(reply, "ok");
         cluster.origin.wait_for_closed_connection();
     }
@@ -135,34 +147,38 @@
 #[test]
 fn a_late_response_reaches_no_other_request() {
     let (open, gate) = Gate::new();
-    let cache = cache_server(move |words| match gate.take() {
+    let cache = cache_server(move |parts| match gate.take() {
         Some(opened) => Behaviour::RespondAfter(opened, hit("late")),
-        None => Behaviour::Respond(hit(&words[1])),
+        None => Behaviour::Respond(hit(&parts[1])),
     });
     let cluster = Cluster::with_cache(cache);
     let mut client = cluster.client();
-    let reply = client.ask(&read_within("1", 300)).unwrap();
+    let reply = client.execute(&read_with_deadline("1", 300)).unwrap();
     assert!(reply.starts_with('-'), "replied at its deadline: {reply}");
     open.send(()).unwrap();
-    assert_eq!(client.ask(&read("bb", "2")).unwrap(), "bb");
+    assert_eq!(client.execute(&read("bb", "2")).unwrap(), "bb");
     let connection = || cluster.cache.next_request().connection;
-    assert_ne!(connection(), connection(), "the late one is not reused");
+    assert_ne!(
+        connection(),
+        connection(),
+        "the connection with the late response is not reused"
+    );
 }
 
 #[test]
 fn a_response_that_never_ends_fails_its_own_request_and_no_other() {
-    let cache = cache_server(|words| match words[1].as_str() {
+    let cache = cache_server(|parts| match parts[1].as_str() {
         "aa" => Behaviour::Respond(b"*3\r\n$1000\r\nhalf a value".to_vec()),
         key => Behaviour::Respond(hit(key)),
     });
     let cluster = Cluster::with_cache(cache);
     let mut client = cluster.client();
-    let reply = client.ask(&read_within("1", 300)).unwrap();
+    let reply = client.execute(&read_with_deadline("1", 300)).unwrap();
     assert!(
         reply.starts_with('-'),
-        "nothing of it is forwarded: {reply}"
+        "no part of the response is forwarded: {reply}"
     );
-    assert_eq!(client.ask(&read("bb", "2")).unwrap(), "bb");
+    assert_eq!(client.execute(&read("bb", "2")).unwrap(), "bb");
 }
 
 #[test]
@@ -170,13 +186,13 @@
     let (open, gate) = Gate::new();
     let has_vanished = Arc::new(AtomicBool::new(false));
     let vanished = has_vanished.clone();
-    let mut is_old = false; // Each connection has its own.
-    let cache = cache_server(move |words| {
-        if is_old && vanished.load(Ordering::SeqCst) {
+    let mut has_served = false; // Each connection has its own copy.
+    let cache = cache_server(move |parts| {
+        if has_served && vanished.load(Ordering::SeqCst) {
             return Behaviour::Hang;
         }
-        is_old = true;
-        match words[1].as_str() {
+        has_served = true;
+        match parts[1].as_str() {
             "ee" => gate.respond(hit("slow")),
             key => Behaviour::Respond(hit(key)),
         }
@@ -185,43 +201,44 @@
     let mut client = cluster.client();
     client.send(&read("ee", "1"));
     cluster.cache.next_request();
-    let reply = cluster.client().ask(&read("aa", "2")).unwrap();
+    let reply = cluster.client().execute(&read("aa", "2")).unwrap();
     assert_eq!(reply, "aa", "on a second connection");
     open.send(()).unwrap();
     assert_eq!(client.reply().unwrap(), "slow");
     has_vanished.store(true, Ordering::SeqCst);
-    let reply = client.ask(&read_within("3", 400)).unwrap();
+    let reply = client.execute(&read_with_deadline("3", 400)).unwrap();
     assert!(reply.starts_with('-'), "{reply}");
-    let reply = client.ask(&read("bb", "4")).unwrap();
+    let reply = client.execute(&read("bb", "4")).unwrap();
     assert_eq!(reply, "bb", "on a new connection");
 }
 
 #[test]
 fn a_second_response_on_an_idle_connection_closes_it_and_fails_no_request() {
     let (open, gate) = Gate::new();
-    let cache = cache_server(move |words| match words[1].as_str() {
+    let cache = cache_server(move |parts| match parts[1].as_str() {
         "ee" => Behaviour::RespondTwice(hit("ee"), gate.take().unwrap()),
         key => Behaviour::Respond(hit(key)),
     });
     let cluster = Cluster::with_cache(cache);
     let mut client = cluster.client();
-    assert_eq!(client.ask(&read("ee", "1")).unwrap(), "ee");
+    assert_eq!(client.execute(&read("ee", "1")).unwrap(), "ee");
     open.send(()).unwrap();
     cluster.cache.wait_for_closed_connection();
     for id in 0..5 {
-        assert_eq!(client.ask(&read("aa", &id.to_string())).unwrap(), "aa");
+        assert_eq!(client.execute(&read("aa", &id.to_string())).unwrap(), "aa");
     }
 }
 
 #[test]
 fn a_read_written_while_its_idle_connection_is_being_closed_is_retried() {
-    // Closed after each response, with half a line before the end: some writes meet the close, some precede it.
-    let cache = cache_server(|words| {
-        Behaviour::RespondAndClose([hit(&words[1]), b"*3\r\n$1".to_vec()].concat())
+    // The server closes the connection after each response and an incomplete line: the next write may come before or
+    // after the close.
+    let cache = cache_server(|parts| {
+        Behaviour::RespondAndClose([hit(&parts[1]), b"*3\r\n$1".to_vec()].concat())
     });
     let cluster = Cluster::with_cache(cache);
     let mut client = cluster.client();
     for id in 0..50 {
-        assert_eq!(client.ask(&read("aa", &id.to_string())).unwrap(), "aa");
+        assert_eq!(client.execute(&read("aa", &id.to_string())).unwrap(), "aa");
     }
 }
--- a/crates/cache-router/tests/router_process/shutdown.rs
+++ b/crates/cache-router/tests/router_process/shutdown.rs
@@ -1,45 +1,46 @@
-//! The end of a router after SIGTERM.
+//! Shutdown of a router after SIGTERM.
 
 use std::io::Read;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
 use crate::support::{
-    Behaviour, Cluster, FakeDiscovery, Gate, PATIENCE, PING, RefusingAddress, RouterProcess,
-    StartOptions, cache_server, command, complete_list, endpoint, endpoint_list, failing_origin,
-    hit, http, miss, origin_server, read, read_within, wait_until, watch_with, write,
+    Behaviour, Cluster, FakeDiscovery, Gate, PING, RefusingAddress, RouterProcess, StartOptions,
+    TEST_TIMEOUT, cache_server, command, complete_list, endpoint, endpoint_list, failing_origin,
+    hit, http, miss, origin_server, read, read_with_deadline, wait_until, watch_with, write,
 };
 
 #[test]
-fn after_sigterm_connections_are_accepted_for_a_while_and_accepted_requests_served() {
+fn after_sigterm_connections_are_accepted_for_a_while_and_accepted_requests_are_served() {
     let (open, gate) = Gate::new();
-    let cache = cache_server(move |words| match words[1].as_str() {
+    let cache = cache_server(move |parts| match parts[1].as_str() {
         "ee" => gate.respond(hit("slow")),
         key => Behaviour::Respond(hit(key)),
     });
     let mut cluster = Cluster::with_cache(cache);
     let mut client = cluster.client();
     let mut idle = cluster.client();
-    assert!(idle.finds_router_ready());
+    assert!(idle.is_router_ready());
     client.send(&read("ee", "1"));
     cluster.cache.next_request();
     cluster.router.terminate();
-    let new_client = cluster.client().ask(&read("aa", "2")).unwrap();
+    let new_client = cluster.client().execute(&read("aa", "2")).unwrap();
     assert_eq!(new_client, "aa", "a new connection is still accepted");
-    assert_eq!(idle.reply(), None, "an idle one is closed");
+    assert_eq!(idle.reply(), None, "an idle connection is closed");
     open.send(()).unwrap();
-    assert_eq!(client.reply().unwrap(), "slow", "what was accepted");
+    assert_eq!(client.reply().unwrap(), "slow", "an accepted request");
     assert_eq!(client.reply(), None);
     cluster.router.assert_exits_with_success();
 }
 
 #[test]
-fn after_sigterm_the_router_ends_only_when_the_last_client_has_read_its_replies() {
+fn after_sigterm_the_router_exits_only_when_the_last_client_has_read_its_replies() {
     let cache = cache_server(|_| Behaviour::Respond(hit(&"v".repeat(60_000))));
     let mut cluster = Cluster::with_cache(cache);
     let mut client = cluster.client();
-    assert!(client.finds_router_ready());
-    // More than the buffers between the two hold, one after the other as each needs its cache server.
+    assert!(client.is_router_ready());
+    // Requests more replies than the buffers between router and client hold. The requests are sent one after the other,
+    // since each of them needs the only cache server.
     let mut requests = 0;
     for id in 0..200 {
         client.send(&read("aa", &id.to_string()));
@@ -53,10 +54,10 @@
         requests += 1;
     }
     cluster.router.terminate();
-    // It no longer accepts connections, and would end now if it ignored what it still has to write.
-    let end = Instant::now() + PATIENCE;
+    // The router no longer accepts connections. It would exit now if it ignored the replies that it still has to write.
+    let end = Instant::now() + TEST_TIMEOUT;
     while TcpStream::connect(cluster.router.address).is_ok() {
-        assert!(Instant::now() < end, "it still accepts connections");
+        assert!(Instant::now() < end, "the router still accepts connections");
     }
     let replies = std::iter::from_fn(|| client.reply());
     let read = replies.filter(|reply| reply.len() == 60_000).count();
@@ -70,7 +71,7 @@
     let options = StartOptions::with_short_deadline();
     let discovery = RefusingAddress::new();
     let mut router = RouterProcess::start_with(discovery.address, &no_servers, options);
-    let reply = router.client().ask(&command(&PING)).unwrap();
+    let reply = router.client().execute(&command(&PING)).unwrap();
     assert!(reply.starts_with("-LOADING"), "{reply}");
     for signal in ["TERM", "HUP", "TERM", "INT"] {
         router.signal(signal);
@@ -81,7 +82,7 @@
 #[test]
 fn during_shutdown_a_new_discovery_is_followed_and_its_draining_server_gets_no_requests() {
     let (open, gate) = Gate::new();
-    let cache = cache_server(move |words| match words[1].as_str() {
+    let cache = cache_server(move |parts| match parts[1].as_str() {
         "ee" => gate.respond(hit("slow")),
         key => Behaviour::Respond(hit(key)),
     });
@@ -103,12 +104,12 @@
     new_discovery.next_call();
     wait_until("the drain is known", || {
         client.send(&read("aa", "2"));
-        // Replies come in order, that of the slow request first: the server shows what was sent to it.
+        // Replies come in order, that of the slow request first, so the test observes what the cache server receives.
         let received = cache.requests.recv_timeout(Duration::from_millis(100));
         received.is_err()
     });
     open.send(()).unwrap();
-    assert_eq!(client.reply().unwrap(), "slow", "what was accepted");
+    assert_eq!(client.reply().unwrap(), "slow", "an accepted request");
     drop(client);
     router.assert_exits_with_success();
 }
@@ -120,20 +121,20 @@
     let mut cluster = Cluster::with_cache_and_options(cache, options);
     let mut client = cluster.client();
     for id in 0..200 {
-        client.send(&read_within(&id.to_string(), 500));
+        client.send(&read_with_deadline(&id.to_string(), 500));
     }
     cluster.cache.next_request();
     let terminated_at = Instant::now();
     cluster.router.terminate();
     cluster.router.assert_exits_with_success();
-    // The platform counts a deadline as three seconds at least; the router does not.
+    // The platform counts a deadline as at least three seconds; the router does not.
     let took = terminated_at.elapsed();
     assert!(took < Duration::from_secs(8), "{took:?}");
 }
 
 #[test]
 fn idle_clients_are_closed_in_order_at_the_end_and_new_ones_served_though_all_sockets_are_used() {
-    let cache = cache_server(|words| Behaviour::Respond(hit(&words[1])));
+    let cache = cache_server(|parts| Behaviour::Respond(hit(&parts[1])));
     let mut cluster = Cluster::with_cache_and_options(cache, StartOptions::with_sockets(64));
     let mut idle_clients: Vec<_> = (0..24).map(|_| cluster.client()).collect();
     for client in &mut idle_clients {
@@ -141,14 +142,14 @@
     }
     cluster.router.terminate();
     for id in 0..20 {
-        let reply = cluster.client().ask(&read("aa", &id.to_string()));
+        let reply = cluster.client().execute(&read("aa", &id.to_string()));
         assert_eq!(reply.as_deref(), Some("aa"), "request {id}");
     }
     for client in &mut idle_clients {
-        // Whatever was read of it before, it is closed in order: no reset takes a reply away.
+        // The connection is closed without a reset, which could discard a reply.
         let mut rest = Vec::new();
         let end = client.input.read_to_end(&mut rest);
-        end.expect("an end, not a reset");
+        end.expect("a close, not a reset");
     }
     drop(idle_clients);
     cluster.router.assert_exits_with_success();
@@ -157,13 +158,13 @@
 #[test]
 fn a_large_value_that_is_received_in_pieces_across_sigterm_is_served_complete() {
     let cache = cache_server(|_| Behaviour::Respond(miss()));
-    let origin = origin_server(|words| {
-        let length = words.last().unwrap().len();
+    let origin = origin_server(|parts| {
+        let length = parts.last().unwrap().len();
         Behaviour::Respond(http(200, "", &length.to_string()))
     });
     let mut cluster = Cluster::start(cache, origin);
     let mut client = cluster.client();
-    assert!(client.finds_router_ready());
+    assert!(client.is_router_ready());
     let value = write("aa", "1", &"v".repeat(64 * 1024));
     for (number, part) in value.chunks(8 * 1024).enumerate() {
         if number == 3 {
--- a/crates/cache-router/tests/router_process/start.rs
+++ b/crates/cache-router/tests/router_process/start.rs
@@ -1,4 +1,4 @@
-//! Starts that have to wait for something.
+//! Startup while the listen address is in use or the configuration is incomplete.
 
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpListener};
@@ -7,7 +7,7 @@
 
 use crate::support::{config_file, send_signal, settings};
 
-/// A router that may not have started yet; killed when dropped.
+/// A router process that may not have finished its startup; killed when dropped.
 struct StartingRouter {
     child: Child,
     lines: Box<dyn Iterator<Item = String>>,
@@ -57,53 +57,53 @@
     format!(r#"{{"listen":"{listen}","discovery":"127.0.0.1:1","seed":"1","settings":{settings}}}"#)
 }
 
-/// An address on which something listens, as an earlier router that has not ended.
-fn held_address() -> (TcpListener, SocketAddr) {
+/// An address on which a listener is open, as one of an earlier router that has not exited.
+fn address_in_use() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     (listener, address)
 }
 
 #[test]
-fn a_start_waits_for_the_address_that_an_earlier_router_still_holds() {
-    let (earlier, address) = held_address();
+fn startup_waits_for_an_address_that_an_earlier_router_still_uses() {
+    let (earlier, address) = address_in_use();
     let mut router = StartingRouter::new(config_file(&config(address)));
-    let waits = router.next_line();
+    let retry_line = router.next_line();
     assert!(
-        waits.contains("cannot listen on") && waits.contains("trying again"),
-        "{waits}"
+        retry_line.contains("cannot listen on") && retry_line.contains("trying again"),
+        "{retry_line}"
     );
     drop(earlier);
-    let listens = router.next_line();
+    let listening_line = router.next_line();
     assert!(
-        listens.ends_with(&format!("listening on {address}")),
-        "{listens}"
+        listening_line.ends_with(&format!("listening on {address}")),
+        "{listening_line}"
     );
 }
 
 #[test]
-fn a_start_waits_for_a_configuration_that_is_half_written_or_missing() {
-    let whole = config(SocketAddr::from(([127, 0, 0, 1], 0)));
-    for first in [Some(&whole[..whole.len() / 2]), Some(""), None] {
+fn startup_waits_for_a_configuration_that_is_half_written_or_missing() {
+    let complete = config(SocketAddr::from(([127, 0, 0, 1], 0)));
+    for first in [Some(&complete[..complete.len() / 2]), Some(""), None] {
         let config_path = config_file(first.unwrap_or_default());
         if first.is_none() {
             std::fs::remove_file(&config_path).unwrap();
         }
         let mut router = StartingRouter::new(config_path);
-        let waits = router.next_line();
-        assert!(waits.contains("trying again"), "{waits}");
-        std::fs::write(&router.config_path, &whole).unwrap();
-        let listens = router.next_line();
-        assert!(listens.contains("listening on"), "{listens}");
+        let retry_line = router.next_line();
+        assert!(retry_line.contains("trying again"), "{retry_line}");
+        std::fs::write(&router.config_path, &complete).unwrap();
+        let listening_line = router.next_line();
+        assert!(listening_line.contains("listening on"), "{listening_line}");
     }
 }
 
 #[test]
-fn a_start_that_waits_survives_sighup_and_ends_in_order_on_sigterm() {
-    let (_earlier, address) = held_address();
+fn a_waiting_startup_survives_sighup_and_exits_with_success_on_sigterm() {
+    let (_earlier, address) = address_in_use();
     let mut router = StartingRouter::new(config_file(&config(address)));
-    let waits = router.next_line();
-    assert!(waits.contains("trying again"), "{waits}");
+    let retry_line = router.next_line();
+    assert!(retry_line.contains("trying again"), "{retry_line}");
     router.signal("HUP");
     router.signal("TERM");
     router.assert_exits_with_success();
--- a/crates/cache-router/tests/router_process/support/client.rs
+++ b/crates/cache-router/tests/router_process/support/client.rs
@@ -3,10 +3,10 @@
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-use super::PATIENCE;
+use super::TEST_TIMEOUT;
 use super::servers::read_line;
 
-/// The words of the health check.
+/// The command of the health check.
 pub const PING: [&str; 1] = ["PING"];
 
 /// A client of the router.
@@ -18,7 +18,7 @@
 impl Client {
     pub fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Client {
             output: stream.try_clone().unwrap(),
             input: BufReader::new(stream),
@@ -29,7 +29,8 @@
         self.output.write_all(bytes).unwrap();
     }
 
-    /// The next reply: a line as it is, a bulk string as its content; `None` if the connection is closed.
+    /// Reads the next reply: the content of a bulk string, or any other line unchanged; `None` if the connection is
+    /// closed.
     pub fn reply(&mut self) -> Option<String> {
         let first = read_line(&mut self.input)?;
         let Some(length) = first.strip_prefix('$') else {
@@ -42,39 +43,39 @@
     }
 
     /// Sends a command and returns its reply.
-    pub fn ask(&mut self, bytes: &[u8]) -> Option<String> {
+    pub fn execute(&mut self, bytes: &[u8]) -> Option<String> {
         self.send(bytes);
         self.reply()
     }
 
-    /// Whether the router is ready to serve.
-    pub fn finds_router_ready(&mut self) -> bool {
-        self.ask(&command(&PING)).unwrap() == "+PONG"
+    /// Whether the router reports by its health check that it is ready to serve.
+    pub fn is_router_ready(&mut self) -> bool {
+        self.execute(&command(&PING)).unwrap() == "+PONG"
     }
 }
 
-/// A command, encoded.
-pub fn command(words: &[&str]) -> Vec<u8> {
-    let encoded = words
+/// Encodes a command.
+pub fn command(arguments: &[&str]) -> Vec<u8> {
+    let encoded = arguments
         .iter()
-        .map(|word| format!("${}\r\n{word}\r\n", word.len()))
+        .map(|argument| format!("${}\r\n{argument}\r\n", argument.len()))
         .collect::<String>();
     let count = encoded.matches("\r\n$").count() + 1;
     format!("*{count}\r\n{encoded}").into_bytes()
 }
 
-/// A read of a key, with the client's id of the request.
+/// A read of `key` with the request id `id`.
 pub fn read(key: &str, id: &str) -> Vec<u8> {
     command(&["OBJ.GET", key, id, "c=read,t=acme,d=8000"])
 }
 
-/// A read of the key `aa` with a deadline in milliseconds.
-pub fn read_within(id: &str, deadline_ms: u32) -> Vec<u8> {
+/// A read of the key `aa` with the request id `id` and a deadline in milliseconds.
+pub fn read_with_deadline(id: &str, deadline_ms: u32) -> Vec<u8> {
     let fields = format!("c=read,t=acme,d={deadline_ms}");
     command(&["OBJ.GET", "aa", id, &fields])
 }
 
-/// A write that is not idempotent, with the client's id of the request.
+/// A write that is not idempotent, with the request id `id`.
 pub fn write(key: &str, id: &str, value: &str) -> Vec<u8> {
     command(&["OBJ.SET", key, id, "c=put,t=acme,d=8000,k=77", value])
 }
--- a/crates/cache-router/tests/router_process/support/discovery.rs
+++ b/crates/cache-router/tests/router_process/support/discovery.rs
@@ -1,34 +1,34 @@
-//! A fake of discovery, and the endpoint lists that it sends.
+//! A fake discovery service, and the endpoint lists that it sends.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
 use std::time::Duration;
 
-use super::PATIENCE;
+use super::TEST_TIMEOUT;
 use super::servers::read_http;
 
-/// How often a watch without news sends an empty line.
+/// How often a watch without updates sends an empty line.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// The response that rejects a call.
 pub const UNAVAILABLE: &[u8] = b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n";
 
-/// A fake of discovery.
+/// A fake discovery service.
 pub struct FakeDiscovery {
     pub address: SocketAddr,
-    /// What is sent through it goes to the last call.
+    /// Bytes to send on the watch that the last response opens.
     pub updates: Sender<Vec<u8>>,
-    /// The first lines of the calls.
+    /// The request lines of the calls.
     pub calls: Receiver<String>,
 }
 
 impl FakeDiscovery {
-    /// Opens a watch that brings nothing.
+    /// Answers the first call with a watch on which only the test sends lists.
     pub fn unchanging() -> FakeDiscovery {
         FakeDiscovery::with_responses(vec![watch_head()])
     }
 
-    /// Answers each call with the next of these responses. The last one stays open, and brings what is sent as updates.
+    /// Answers each call with the next of these responses. The last one stays open and carries the updates.
     pub fn with_responses(responses: Vec<Vec<u8>>) -> FakeDiscovery {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -43,8 +43,8 @@
                     send_updates(output, &queued_updates);
                 }
             }
-            // Later calls are closed at once. The address stays taken: the system would give a free one to another test's
-            // server, which a router that still calls discovery would then reach.
+            // Later calls are closed at once. The listener stays open to keep the address: the system could give a free
+            // address to the server of another test, which a router that still calls discovery would then reach.
             for connection in listener.incoming() {
                 drop(connection);
             }
@@ -56,9 +56,9 @@
         }
     }
 
-    /// The first line of the next call.
+    /// The request line of the next call.
     pub fn next_call(&self) -> String {
-        self.calls.recv_timeout(PATIENCE).unwrap()
+        self.calls.recv_timeout(TEST_TIMEOUT).unwrap()
     }
 
     /// Sends an endpoint list on the open watch.
@@ -95,29 +95,29 @@
     }
 }
 
-/// The head of a watch.
+/// The response head of a watch.
 pub fn watch_head() -> Vec<u8> {
     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec()
 }
 
-/// The head of a watch, and a list on it.
+/// The head of a watch, followed by a list.
 pub fn watch_with(list: &str) -> Vec<u8> {
     [watch_head(), chunk(list)].concat()
 }
 
-/// A chunk of a response.
+/// A chunk of a chunked response.
 pub fn chunk(text: &str) -> Vec<u8> {
     format!("{:x}\r\n{text}\r\n", text.len()).into_bytes()
 }
 
-/// An endpoint of a list.
+/// An entry of an endpoint list.
 pub fn endpoint(name: &str, address: SocketAddr, kind: &str, status: &str) -> String {
     format!(
         r#"{{"name":"{name}","address":"{address}","zone":"a","type":"{kind}","group":1,"status":"{status}","weight":1.0,"since_ms":0}}"#
     )
 }
 
-/// An endpoint list of a version, complete or a change.
+/// An endpoint list with a version: the complete list, or a change to it.
 pub fn endpoint_list(version: u64, is_complete: bool, endpoints: &[String]) -> String {
     format!(
         r#"{{"index":{version},"snapshot":{is_complete},"endpoints":[{}]}}"#,
--- a/crates/cache-router/tests/router_process/support/mod.rs
+++ b/crates/cache-router/tests/router_process/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: fake servers and discovery, the router as a process, and its clients.
+//! Shared test support: fake servers and a fake discovery, the router as a process, and its clients.
 
 mod client;
 mod discovery;
@@ -10,7 +10,7 @@
 
 use socket2::{Domain, Socket, Type};
 
-pub use client::{Client, PING, command, read, read_within, write};
+pub use client::{Client, PING, command, read, read_with_deadline, write};
 pub use discovery::{
     FakeDiscovery, UNAVAILABLE, endpoint, endpoint_list, keep_watch_open, watch_head, watch_with,
 };
@@ -19,31 +19,31 @@
     Behaviour, FakeServer, Gate, cache_server, failing_origin, hit, http, miss, origin_server,
 };
 
-/// Longer than anything here takes, on the busiest machine.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// The timeout for any wait in these tests; longer than any of them takes on a busy machine.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A router between a cache server, an origin and discovery, all of them fakes.
+/// A router with a fake cache server, a fake origin and a fake discovery.
 pub struct Cluster {
-    /// First, so that it is dropped before what it calls.
+    /// The first field, so that the router is dropped before the servers that it calls.
     pub router: RouterProcess,
     pub cache: FakeServer,
     pub origin: FakeServer,
-    #[expect(dead_code, reason = "its watch is open for as long as it is kept")]
+    #[expect(dead_code, reason = "dropping it closes its watch")]
     discovery: FakeDiscovery,
 }
 
 impl Cluster {
-    /// With a cache server, and an origin that fails each request.
+    /// A cluster with an origin that fails each request.
     pub fn with_cache(cache: FakeServer) -> Cluster {
         Cluster::start(cache, failing_origin())
     }
 
-    /// With a cache server and an origin.
+    /// A cluster with default options of the router.
     pub fn start(cache: FakeServer, origin: FakeServer) -> Cluster {
         Cluster::start_with(cache, origin, StartOptions::default())
     }
 
-    /// With a cache server, an origin that fails each request, and options of the router.
+    /// A cluster with an origin that fails each request, and with options of the router.
     pub fn with_cache_and_options(cache: FakeServer, options: StartOptions) -> Cluster {
         Cluster::start_with(cache, failing_origin(), options)
     }
@@ -60,29 +60,29 @@
         }
     }
 
-    /// A new client of the router.
+    /// Connects a new client to the router.
     pub fn client(&self) -> Client {
         self.router.client()
     }
 }
 
 /// Two cache servers that respond with `first` and `second`, and an origin that fails each request.
-pub struct TwoCaches {
+pub struct TwoCacheServers {
     pub first: FakeServer,
     pub second: FakeServer,
     pub origin: FakeServer,
 }
 
-impl TwoCaches {
-    pub fn new() -> TwoCaches {
-        TwoCaches {
+impl TwoCacheServers {
+    pub fn new() -> TwoCacheServers {
+        TwoCacheServers {
             first: cache_server(|_| Behaviour::Respond(hit("first"))),
             second: cache_server(|_| Behaviour::Respond(hit("second"))),
             origin: failing_origin(),
         }
     }
 
-    /// The endpoints, with a status of the first cache server.
+    /// The endpoints, with the given status for the first cache server.
     pub fn endpoints(&self, status_of_first: &str) -> [String; 3] {
         [
             endpoint("s-1", self.first.address, "std", status_of_first),
@@ -92,17 +92,17 @@
     }
 }
 
-/// Reads 40 keys; how many of them the first of two cache servers served.
+/// Reads 40 keys. Returns how many of them the first of two cache servers served.
 pub fn reads_served_by_first(client: &mut Client) -> usize {
     let mut replies = Vec::new();
     for key in 0..40 {
-        let reply = client.ask(&read(&format!("{key:x}"), "1"));
+        let reply = client.execute(&read(&format!("{key:x}"), "1"));
         replies.push(reply.unwrap_or_else(|| panic!("connection closed after {replies:?}")));
     }
     replies.iter().filter(|reply| *reply == "first").count()
 }
 
-/// The complete endpoint list, of version 5, with one cache server and an origin.
+/// A complete endpoint list of version 5 with one cache server and an origin.
 pub fn complete_list(cache: &FakeServer, origin: &FakeServer) -> String {
     let endpoints = [
         endpoint("s-1", cache.address, "std", "active"),
@@ -111,11 +111,11 @@
     endpoint_list(5, true, &endpoints)
 }
 
-/// An address that refuses connections, as a machine without the service does. It is reserved for as long as it is kept:
-/// the system would give a free one to another test's server.
+/// An address that refuses connections, like that of a machine on which the service does not run. It is reserved until
+/// it is dropped: the system could give a free address to the server of another test.
 pub struct RefusingAddress {
     pub address: SocketAddr,
-    #[expect(dead_code, reason = "held for its drop")]
+    #[expect(dead_code, reason = "reserves the address until it is dropped")]
     socket: Socket,
 }
 
@@ -132,7 +132,7 @@
 
 /// Waits until a condition holds.
 pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     while !condition() {
         assert!(Instant::now() < end, "{description}");
         std::thread::sleep(Duration::from_millis(2));
--- a/crates/cache-router/tests/router_process/support/process.rs
+++ b/crates/cache-router/tests/router_process/support/process.rs
@@ -7,23 +7,23 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::mpsc::{Receiver, channel};
 
-use super::{Client, PATIENCE, wait_until};
+use super::{Client, TEST_TIMEOUT, wait_until};
 
 /// The number of the next configuration file.
-static NEXT_FILE: AtomicU32 = AtomicU32::new(0);
+static NEXT_FILE_NUMBER: AtomicU32 = AtomicU32::new(0);
 
 /// How a router is started.
 pub struct StartOptions {
-    /// The limit of sockets in its configuration.
+    /// The limit on sockets in its configuration.
     pub sockets: usize,
-    /// A shell command that is run before it, such as a limit.
+    /// A shell command that runs before the router, such as one that sets a limit.
     pub shell_command: &'static str,
-    /// Its settings.
+    /// The settings in its configuration.
     pub settings: String,
     /// Who reads its log.
     pub log_reader: LogReader,
-    /// Whether it writes its trace.
-    pub has_trace: bool,
+    /// Whether the router writes its trace.
+    pub trace_enabled: bool,
 }
 
 /// Who reads the log of a router.
@@ -31,10 +31,10 @@
 pub enum LogReader {
     /// The test, line by line.
     Test,
-    /// Nobody, though the pipe stays open: it fills up.
+    /// Nobody. The pipe stays open and fills up.
     Stalled,
-    /// Nobody any more: the pipe is closed.
-    Gone,
+    /// Nobody. The pipe is closed.
+    Closed,
 }
 
 impl Default for StartOptions {
@@ -44,13 +44,13 @@
             shell_command: "",
             settings: settings().into(),
             log_reader: LogReader::Test,
-            has_trace: false,
+            trace_enabled: false,
         }
     }
 }
 
 impl StartOptions {
-    /// With a limit of sockets.
+    /// Options with a limit on sockets.
     pub fn with_sockets(sockets: usize) -> Self {
         StartOptions {
             sockets,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// With a deadline of half a second.
+    /// Options with a deadline of half a second for all classes.
     pub fn with_short_deadline() -> Self {
         StartOptions {
             settings: settings().replace("8000000", "500000"),
@@ -66,7 +66,7 @@
         }
     }
 
-    /// With endpoint lists that are pushed.
+    /// Options with endpoint lists that are pushed by discovery.
     pub fn with_pushed_lists() -> Self {
         StartOptions {
             settings: settings().replace(r#""discovery":"ask""#, r#""discovery":"push""#),
@@ -79,15 +79,12 @@
 pub struct RouterProcess {
     child: Child,
     pub address: SocketAddr,
-    /// The lines of its log after the first; none if the test does not read it.
+    /// The lines of its log after the first; empty if the test does not read the log.
     pub log: Receiver<String>,
-    #[expect(
-        dead_code,
-        reason = "a log that nobody reads is open for as long as it is kept"
-    )]
+    #[expect(dead_code, reason = "keeps the pipe of an unread log open")]
     unread_log: Option<ChildStderr>,
     config_path: PathBuf,
-    /// What was in the configuration file at the start.
+    /// The configuration file at startup.
     initial_config: String,
 }
 
@@ -106,7 +103,7 @@
             shell_command,
             settings,
             log_reader,
-            has_trace,
+            trace_enabled,
         } = options;
         let initial_config = format!(
             r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"0a","limits":{{"sockets":{sockets}}},"known":{cached_list},"settings":{settings}}}"#
@@ -119,7 +116,7 @@
             .env("ROUTER_CONFIG", &config_path)
             .env_remove("ROUTER_LISTEN")
             .env("ROUTER_DISCOVERY", discovery.to_string())
-            .env("CACHE_ROUTER_NODE__TRACE", has_trace.to_string())
+            .env("CACHE_ROUTER_NODE__TRACE", trace_enabled.to_string())
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
@@ -130,7 +127,7 @@
                 (address, log, None)
             }
             LogReader::Stalled => (listening_address(child.id()), channel().1, Some(output)),
-            LogReader::Gone => {
+            LogReader::Closed => {
                 drop(output);
                 (listening_address(child.id()), channel().1, None)
             }
@@ -145,7 +142,7 @@
         }
     }
 
-    /// A new client.
+    /// Connects a new client.
     pub fn client(&self) -> Client {
         Client::connect(self.address)
     }
@@ -154,16 +151,16 @@
         self.signal("TERM");
     }
 
-    /// Replaces its configuration, some text of the first one by another, and signals that.
+    /// Writes the initial configuration with `from` replaced by `to`, and has the router reload it.
     pub fn reconfigure(&self, from: &str, to: &str) {
         self.write_config(from, to, 1.0);
         self.signal("HUP");
     }
 
-    /// Writes its configuration, some text of the first one replaced by another, cut off after a part of it.
-    pub fn write_config(&self, from: &str, to: &str, part: f64) {
+    /// Writes the initial configuration with `from` replaced by `to`, truncated to a fraction of its length.
+    pub fn write_config(&self, from: &str, to: &str, fraction: f64) {
         let text = self.initial_config.replace(from, to);
-        let length = (text.len() as f64 * part) as usize;
+        let length = (text.len() as f64 * fraction) as usize;
         std::fs::write(&self.config_path, &text[..length]).unwrap();
     }
 
@@ -171,12 +168,12 @@
         send_signal(self.child.id(), name);
     }
 
-    /// Waits until a line of the log matches; whether one did.
-    pub fn logs(&self, matches: impl Fn(&str) -> bool) -> bool {
-        std::iter::from_fn(|| self.log.recv_timeout(PATIENCE).ok()).any(|line| matches(&line))
+    /// Waits until a line of the log matches. Returns whether one did.
+    pub fn wait_for_log_line(&self, matches: impl Fn(&str) -> bool) -> bool {
+        std::iter::from_fn(|| self.log.recv_timeout(TEST_TIMEOUT).ok()).any(|line| matches(&line))
     }
 
-    /// Waits for its end, and requires that it was in order.
+    /// Waits for the process to exit and checks that it exits with success.
     pub fn assert_exits_with_success(&mut self) {
         assert_eq!(self.wait().code(), Some(0));
     }
@@ -201,7 +198,7 @@
     assert!(status.unwrap().success());
 }
 
-/// The address that the first line of a log names, and the lines after it.
+/// The listen address in the first line of a log, and the lines after it.
 fn read_log(output: ChildStderr) -> (SocketAddr, Receiver<String>) {
     let mut lines = BufReader::new(output).lines().map_while(Result::ok);
     let first = lines.next().expect("a first line in the log");
@@ -215,7 +212,7 @@
     (address, log)
 }
 
-/// The address on which a process listens, from the system's tables, once it listens.
+/// Waits until a process listens and returns the address, from the system's socket table.
 fn listening_address(process: u32) -> SocketAddr {
     let mut address = None;
     wait_until("the router listens", || {
@@ -241,9 +238,9 @@
     })
 }
 
-/// Writes a configuration file of its own for each router.
+/// Writes a new configuration file with a unique name.
 pub fn config_file(text: &str) -> PathBuf {
-    let number = NEXT_FILE.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT_FILE_NUMBER.fetch_add(1, Ordering::Relaxed);
     let name = format!("cache-router-test-{}-{number}.json", std::process::id());
     let path = std::env::temp_dir().join(name);
     std::fs::write(&path, text).unwrap();
--- a/crates/cache-router/tests/router_process/support/servers.rs
+++ b/crates/cache-router/tests/router_process/support/servers.rs
@@ -1,4 +1,4 @@
-//! Fake cache servers and origins, which do with each request what a test says.
+//! Fake cache servers and origins. The test decides how they respond to each request.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -6,19 +6,19 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use super::PATIENCE;
+use super::TEST_TIMEOUT;
 
-/// What a fake server does with a request.
+/// How a fake server responds to a request.
 pub enum Behaviour {
     /// Responds with these bytes.
     Respond(Vec<u8>),
-    /// Responds with these bytes once something comes through the channel.
+    /// Responds with these bytes once a message arrives on the channel.
     RespondAfter(Receiver<()>, Vec<u8>),
     /// Responds with these bytes and closes the connection.
     RespondAndClose(Vec<u8>),
     /// Responds with these bytes and resets the connection.
     RespondAndReset(Vec<u8>),
-    /// Responds with these bytes, and with the same again once something comes through the channel.
+    /// Responds with these bytes, and with the same bytes again once a message arrives on the channel.
     RespondTwice(Vec<u8>, Receiver<()>),
     /// Closes the connection.
     Close,
@@ -26,7 +26,7 @@
     Hang,
 }
 
-/// Holds one response back until the test opens it.
+/// Delays one response until the test opens the gate.
 #[derive(Clone)]
 pub struct Gate(Arc<Mutex<Option<Receiver<()>>>>);
 
@@ -37,20 +37,21 @@
         (open, Gate(Arc::new(Mutex::new(Some(opened)))))
     }
 
-    /// The receiver that is told when the gate opens; the first caller has it.
+    /// The receiver of the message that opens the gate; `None` for all callers but the first.
     pub fn take(&self) -> Option<Receiver<()>> {
         self.0.lock().unwrap().take()
     }
 
-    /// Responds when the gate opens; for one request only.
+    /// Responds when the gate opens. Panics if it is called for a second request.
     pub fn respond(&self, bytes: Vec<u8>) -> Behaviour {
         Behaviour::RespondAfter(self.take().unwrap(), bytes)
     }
 }
 
-/// A request that reached a fake server, or, without words, the end of a connection.
+/// A request that reached a fake server, or, without parts, the end of a connection.
 pub struct ReceivedRequest {
-    pub words: Vec<String>,
+    /// The arguments of a command, or the request line, the headers and the body of an HTTP request.
+    pub parts: Vec<String>,
     pub connection: u32,
 }
 
@@ -61,33 +62,33 @@
 }
 
 impl FakeServer {
-    /// The next request that reaches it.
+    /// Waits for the next request.
     pub fn next_request(&self) -> ReceivedRequest {
-        std::iter::from_fn(|| self.requests.recv_timeout(PATIENCE).ok())
-            .find(|request| !request.words.is_empty())
+        std::iter::from_fn(|| self.requests.recv_timeout(TEST_TIMEOUT).ok())
+            .find(|request| !request.parts.is_empty())
             .expect("a request")
     }
 
     /// Waits until a connection is closed.
     pub fn wait_for_closed_connection(&self) {
-        let end = std::iter::from_fn(|| self.requests.recv_timeout(PATIENCE).ok())
-            .find(|request| request.words.is_empty());
+        let end = std::iter::from_fn(|| self.requests.recv_timeout(TEST_TIMEOUT).ok())
+            .find(|request| request.parts.is_empty());
         assert!(end.is_some(), "no connection was closed");
     }
 }
 
-/// A cache server that does with each command what it is told.
+/// A cache server that responds to each command as `respond` decides.
 pub fn cache_server(
-    behave: impl FnMut(&[String]) -> Behaviour + Send + Clone + 'static,
+    respond: impl FnMut(&[String]) -> Behaviour + Send + Clone + 'static,
 ) -> FakeServer {
-    serve(read_command, behave)
+    serve(read_command, respond)
 }
 
-/// An origin that does with each request what it is told.
+/// An origin that responds to each request as `respond` decides.
 pub fn origin_server(
-    behave: impl FnMut(&[String]) -> Behaviour + Send + Clone + 'static,
+    respond: impl FnMut(&[String]) -> Behaviour + Send + Clone + 'static,
 ) -> FakeServer {
-    serve(read_http, behave)
+    serve(read_http, respond)
 }
 
 /// An origin that fails each request.
@@ -95,12 +96,12 @@
     origin_server(|_| Behaviour::Respond(http(500, "", "")))
 }
 
-/// The response of a cache server that has the value.
+/// The response of a cache server for a hit.
 pub fn hit(value: &str) -> Vec<u8> {
     format!("*3\r\n${}\r\n{value}\r\n$3\r\nhit\r\n$-1\r\n", value.len()).into_bytes()
 }
 
-/// The response of a cache server that does not have the value.
+/// The response of a cache server for a miss.
 pub fn miss() -> Vec<u8> {
     b"*3\r\n$-1\r\n$-1\r\n$-1\r\n".to_vec()
 }
@@ -116,20 +117,20 @@
 
 fn serve(
     read_request: fn(&mut BufReader<TcpStream>) -> Option<Vec<String>>,
-    behave: impl FnMut(&[String]) -> Behaviour + Send + Clone + 'static,
+    respond: impl FnMut(&[String]) -> Behaviour + Send + Clone + 'static,
 ) -> FakeServer {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let (report, requests) = channel();
     std::thread::spawn(move || {
         for (number, stream) in listener.incoming().flatten().enumerate() {
-            let mut behave = behave.clone();
+            let mut respond = respond.clone();
             let report = report.clone();
             let connection = number as u32;
             std::thread::spawn(move || {
-                serve_connection(stream, connection, read_request, &mut behave, &report);
+                serve_connection(stream, connection, read_request, &mut respond, &report);
                 let _ = report.send(ReceivedRequest {
-                    words: Vec::new(),
+                    parts: Vec::new(),
                     connection,
                 });
             });
@@ -142,39 +143,39 @@
     stream: TcpStream,
     connection: u32,
     read_request: fn(&mut BufReader<TcpStream>) -> Option<Vec<String>>,
-    behave: &mut impl FnMut(&[String]) -> Behaviour,
+    respond: &mut impl FnMut(&[String]) -> Behaviour,
     report: &Sender<ReceivedRequest>,
 ) {
     let Ok(mut output) = stream.try_clone() else {
         return;
     };
     let mut input = BufReader::new(stream);
-    while let Some(words) = read_request(&mut input) {
-        let behaviour = behave(&words);
-        let _ = report.send(ReceivedRequest { words, connection });
+    while let Some(parts) = read_request(&mut input) {
+        let behaviour = respond(&parts);
+        let _ = report.send(ReceivedRequest { parts, connection });
         let (response, closes) = match behaviour {
             Behaviour::Respond(bytes) => (bytes, false),
             Behaviour::RespondAfter(opened, bytes) => {
-                let _ = opened.recv_timeout(PATIENCE);
+                let _ = opened.recv_timeout(TEST_TIMEOUT);
                 (bytes, false)
             }
             Behaviour::RespondAndClose(bytes) => (bytes, true),
             Behaviour::RespondAndReset(bytes) => {
                 let _ = output.write_all(&bytes);
-                // Dropped with this, it is a reset.
+                // With a linger time of zero, dropping the socket resets the connection.
                 let _ = socket2::SockRef::from(&output).set_linger(Some(Duration::ZERO));
                 return;
             }
             Behaviour::RespondTwice(bytes, opened) => {
                 let _ = output.write_all(&bytes);
-                let _ = opened.recv_timeout(PATIENCE);
+                let _ = opened.recv_timeout(TEST_TIMEOUT);
                 (bytes, false)
             }
             Behaviour::Close => (Vec::new(), true),
             Behaviour::Hang => (Vec::new(), false),
         };
         if output.write_all(&response).is_err() || closes {
-            // Shut down, not only dropped: a process that another test is just starting may hold it too.
+            // Dropping the socket is not enough: a process that another test is starting may hold a copy of it.
             let _ = output.shutdown(Shutdown::Both);
             return;
         }
@@ -194,16 +195,16 @@
     Some(String::from_utf8_lossy(&bytes[..length]).into_owned())
 }
 
-/// Reads a line without its end; `None` if the connection is closed.
+/// Reads a line without its terminator; `None` if the connection is closed.
 pub fn read_line(input: &mut BufReader<TcpStream>) -> Option<String> {
     let mut text = String::new();
     let count = input.read_line(&mut text).ok()?;
     (count > 0).then(|| text.trim_end().to_string())
 }
 
-/// Reads an HTTP request: its first line, its headers, its body.
+/// Reads an HTTP request: the request line, the headers and the body.
 pub fn read_http(input: &mut BufReader<TcpStream>) -> Option<Vec<String>> {
-    let mut words = vec![read_line(input)?];
+    let mut parts = vec![read_line(input)?];
     let mut length = 0;
     loop {
         let header = read_line(input)?;
@@ -213,10 +214,10 @@
         if let Some(value) = header.strip_prefix("Content-Length: ") {
             length = value.parse().ok()?;
         }
-        words.push(header);
+        parts.push(header);
     }
     let mut body = vec![0; length];
     input.read_exact(&mut body).ok()?;
-    words.push(String::from_utf8_lossy(&body).into_owned());
-    Some(words)
+    parts.push(String::from_utf8_lossy(&body).into_owned());
+    Some(parts)
 }
