--- a/crates/cluster-model/src/accepted_jobs.rs
+++ b/crates/cluster-model/src/accepted_jobs.rs
@@ -1,20 +1,20 @@
-//! The jobs that a cache server or the origin works on, each with the response that was settled on its arrival.
+//! The jobs that a cache server or the origin has accepted, each with the response that was determined on its arrival.
 
 use std::collections::BTreeMap;
 
 use crate::Micros;
 use crate::machine::{JobId, Machine};
 
-/// A job that is completed, and the response to it.
+/// A completed job and its response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CompletedJob<R> {
-    /// The job.
+    /// The completed job.
     pub job: JobId,
-    /// Its response.
+    /// The response to the job.
     pub response: R,
 }
 
-/// The responses that accepted jobs will get.
+/// The accepted jobs with the response that each will get.
 #[derive(Debug)]
 pub(crate) struct AcceptedJobs<R> {
     responses: BTreeMap<JobId, R>,
@@ -29,22 +29,22 @@
 }
 
 impl<R> AcceptedJobs<R> {
-    /// A job was accepted.
+    /// Adds an accepted job.
     pub(crate) fn insert(&mut self, job: JobId, response: R) {
         self.responses.insert(job, response);
     }
 
-    /// A job is dropped and gets no response.
+    /// Removes a job that was dropped. It gets no response.
     pub(crate) fn remove(&mut self, job: JobId) {
         self.responses.remove(&job);
     }
 
-    /// All jobs are lost.
+    /// Removes all jobs, as they are lost.
     pub(crate) fn clear(&mut self) {
         self.responses.clear();
     }
 
-    /// The jobs that their machine has completed by now, with their responses.
+    /// Returns the jobs that the machine has completed by now, with their responses.
     pub(crate) fn take_completed(
         &mut self,
         machine: &mut Machine,
--- a/crates/cluster-model/src/endpoint_list.rs
+++ b/crates/cluster-model/src/endpoint_list.rs
@@ -1,11 +1,11 @@
-//! The endpoint list service: one service for all nodes, which handles calls one after another. Watches are notified of
-//! each change that is published, and a call that waits too long fails.
+//! The endpoint list service: one service for all nodes, which handles calls one at a time. Watches are notified of
+//! each published change. A call that waits longer than the timeout fails.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::Micros;
 
-/// Identifies a node, that is one router process.
+/// Identifies a node. A node is one router process.
 pub type NodeId = u32;
 
 /// Properties of the service. Times are in microseconds.
@@ -15,9 +15,9 @@
     pub call_time: Micros,
     /// Time to write one change to one watch.
     pub write_time: Micros,
-    /// A call that has waited for this long fails.
+    /// Time after which a waiting call fails.
     pub timeout: Micros,
-    /// Number of changes that it remembers; a watch that resumes from before gets the complete list.
+    /// Number of changes that are kept. A watch that resumes from an older version gets the complete list.
     pub history: usize,
 }
 
@@ -32,85 +32,85 @@
     }
 }
 
-/// State of a server as the service knows it.
+/// State of a server as known to the service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Condition {
-    /// It takes requests.
+    /// The server accepts requests.
     Ready,
-    /// It completes what it has accepted.
+    /// The server completes the requests that it has accepted and accepts no others.
     Draining,
-    /// It is gone. Only changes hold such a record, the list does not.
+    /// The server was removed. Only changes contain such records; the list itself does not.
     Removed,
 }
 
-/// A server as it stands in the list.
+/// The entry of a server in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EndpointRecord {
     /// Id of the server.
     pub server: u32,
-    /// Its state.
+    /// State of the server.
     pub condition: Condition,
-    /// When it last started, 0 for long ago.
+    /// Time of the latest start of the server; 0 for long ago.
     pub started: Micros,
 }
 
-/// What a node asks for.
+/// A call of a node to the service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListCall {
     /// The complete list, once.
     Complete,
-    /// All changes after a version (0: the list first), until the watch ends.
+    /// All changes after a version until the watch ends. Version 0 requests the complete list first.
     Watch {
-        /// The version that the node holds.
+        /// The version of the list that the node has.
         after: u64,
     },
 }
 
-/// What a node is sent.
+/// A message of the service to a node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ListResponse {
-    /// A list, or changes of it.
+    /// The complete list, or changes of it.
     Update {
-        /// Version that the node holds with it.
+        /// Version of the list that the node has after this update.
         version: u64,
-        /// Whether it is complete: servers that it does not name are gone.
+        /// Whether this is the complete list. Servers that a complete list does not contain were removed.
         complete: bool,
-        /// The servers.
+        /// The entries of the listed or changed servers.
         records: Vec<EndpointRecord>,
     },
-    /// The call failed or the watch ended.
+    /// The call has failed or the watch has ended.
     Failed,
 }
 
-/// The response to a node's call or watch.
+/// A message to a node, in response to its call or at the end of its watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NodeResponse {
-    /// The node.
+    /// The receiving node.
     pub node: NodeId,
-    /// What it is sent.
+    /// The message.
     pub response: ListResponse,
 }
 
-/// The notification of a watch about a change.
+/// The notification of a watch that a server has changed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Notification {
-    /// When it is sent.
+    /// Time at which the notification is sent.
     pub at: Micros,
-    /// The node with the watch.
+    /// The node that has the watch.
     pub node: NodeId,
-    /// The change.
+    /// The update with the change.
     pub response: ListResponse,
 }
 
-/// A change of the list.
+/// A change of the list that is kept in the history.
 #[derive(Debug, Clone, Copy)]
 struct Change {
-    /// The version that it made.
+    /// Version of the list after the change.
     version: u64,
     record: EndpointRecord,
 }
 
-/// A call that waits to be handled.
+/// A call that is waiting to be handled.
 #[derive(Debug, Clone, Copy)]
 struct PendingCall {
     arrived: Micros,
@@ -118,7 +118,7 @@
     call: ListCall,
 }
 
-/// The service.
+/// The endpoint list service.
 #[derive(Debug)]
 pub struct EndpointList {
     config: EndpointListConfig,
@@ -126,16 +126,16 @@
     records: BTreeMap<u32, EndpointRecord>,
     /// The latest changes, oldest first.
     history: VecDeque<Change>,
-    /// Calls that wait, oldest first.
+    /// Calls that are waiting, oldest first.
     queue: VecDeque<PendingCall>,
-    /// Nodes with a watch, and the version that each was last sent.
+    /// Nodes that have a watch, with the latest version that was sent to each.
     watches: BTreeMap<NodeId, u64>,
     busy_until: Micros,
     available: bool,
 }
 
 impl EndpointList {
-    /// A list of servers that all started long ago.
+    /// Creates a list of ready servers that all started long ago.
     pub fn new(config: EndpointListConfig, servers: impl IntoIterator<Item = u32>) -> Self {
         let ready = |server| EndpointRecord {
             server,
@@ -157,7 +157,7 @@
         }
     }
 
-    /// The version of the list; it only grows.
+    /// The version of the list. It never decreases.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -167,8 +167,8 @@
         self.records.values().copied().collect()
     }
 
-    /// A change is published. Returns the notifications of the watches, which are sent one after another, each after the
-    /// time that its write takes.
+    /// Publishes a change. Returns the notifications of all watches. They are sent one after another, and each takes
+    /// the write time.
     pub fn publish(&mut self, now: Micros, record: EndpointRecord) -> Vec<Notification> {
         self.record_change(record);
         if !self.available {
@@ -193,7 +193,7 @@
         notifications
     }
 
-    /// Applies a change to the list, and keeps it in the history.
+    /// Applies a change to the list and adds it to the history.
     fn record_change(&mut self, record: EndpointRecord) {
         self.version += 1;
         if record.condition == Condition::Removed {
@@ -208,7 +208,8 @@
         }
     }
 
-    /// A node calls. Its new call or watch replaces its old one. The response, if the service is down.
+    /// Adds a call of a node. It replaces an earlier call or watch of that node. Returns a response if the service is
+    /// down.
     pub fn call(&mut self, now: Micros, node: NodeId, call: ListCall) -> Option<ListResponse> {
         if !self.available {
             return Some(ListResponse::Failed);
@@ -223,20 +224,20 @@
         None
     }
 
-    /// A node closes its watch or gives up its call.
+    /// Removes the watch and the waiting call of a node.
     pub fn disconnect(&mut self, node: NodeId) {
         self.watches.remove(&node);
         self.queue.retain(|pending| pending.node != node);
     }
 
-    /// When [`EndpointList::process`] has something to do.
+    /// Time at which [`EndpointList::process`] has to handle or fail the next call.
     pub fn next_event_at(&self) -> Option<Micros> {
         let next = self.queue.front()?;
         let handled_at = self.busy_until.max(next.arrived) + self.config.call_time;
         Some(handled_at.min(next.arrived + self.config.timeout))
     }
 
-    /// Handles the calls that are due. Returns the response to each.
+    /// Handles the calls that are due, and returns their responses.
     pub fn process(&mut self, now: Micros) -> Vec<NodeResponse> {
         let mut responses = Vec::new();
         while let Some(&pending) = self.queue.front() {
@@ -246,7 +247,7 @@
                 break;
             }
             let response = if handled_at > fails_at {
-                // It waited in vain, and cost the service no work.
+                // A call that timed out takes none of the service's time.
                 ListResponse::Failed
             } else {
                 self.busy_until = handled_at;
@@ -270,12 +271,12 @@
             return complete;
         };
         self.watches.insert(node, version);
-        let oldest_remembered = self
+        let oldest_in_history = self
             .history
             .front()
             .map_or(version + 1, |change| change.version);
-        // Changes will do only if they follow the node's version without a gap.
-        if after == 0 || after > version || after + 1 < oldest_remembered {
+        // Changes are sufficient only if they follow the node's version without a gap.
+        if after == 0 || after > version || after + 1 < oldest_in_history {
             return complete;
         }
         let changes = self.history.iter().filter(|change| change.version > after);
@@ -286,7 +287,7 @@
         }
     }
 
-    /// The service moves to another address: all watches and calls end. Returns their failures.
+    /// Moves the service to another address, which ends all watches and calls. Returns their failures.
     pub fn relocate(&mut self) -> Vec<NodeResponse> {
         let watching = std::mem::take(&mut self.watches).into_keys();
         let waiting = std::mem::take(&mut self.queue).into_iter();
@@ -299,7 +300,7 @@
             .collect()
     }
 
-    /// The service goes down, which fails all watches and calls, or comes back.
+    /// Stops or restarts the service. Returns the failures of all watches and calls that a stop ends.
     pub fn set_available(&mut self, now: Micros, available: bool) -> Vec<NodeResponse> {
         self.available = available;
         self.busy_until = self.busy_until.max(now);
--- a/crates/cluster-model/src/invariants/drain.rs
+++ b/crates/cluster-model/src/invariants/drain.rs
@@ -1,4 +1,4 @@
-//! Nothing is sent to a server long after the notice that it drains or is gone.
+//! Invariant: no attempt is sent to a server later than the drain grace after the notice that it drains or was removed.
 
 use std::collections::BTreeMap;
 
@@ -7,51 +7,51 @@
 use crate::Micros;
 use crate::endpoint_list::NodeId;
 
-/// A node's notice about a server.
+/// Identifies the notice that a node received about a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Notice {
     node: NodeId,
     server: u32,
 }
 
-/// What is known of servers that are not ready.
+/// The servers that are not ready, as known to discovery and as notified to each node.
 #[derive(Debug, Default)]
 pub(super) struct DrainNotices {
-    /// Servers that nodes were notified are not ready, and since when.
+    /// Notices that a server is not ready, with the time at which the node received each.
     notified: BTreeMap<Notice, Micros>,
-    /// Servers of which discovery knows that they are not ready.
+    /// Servers that discovery knows to be not ready.
     pub(super) not_ready: KnownChanges,
 }
 
 impl DrainNotices {
-    /// Since when a node counts as notified that a server is not ready.
+    /// Time since which a node counts as notified that a server is not ready.
     fn notified_since(&self, node: NodeId, server: u32, notified_after: Micros) -> Option<Micros> {
         let notified = self.notified.get(&Notice { node, server }).copied();
-        let should_know = self
+        let presumed_since = self
             .not_ready
             .reachable_since(server)
             .map(|since| since + notified_after);
-        notified.into_iter().chain(should_know).min()
+        notified.into_iter().chain(presumed_since).min()
     }
 
-    /// A node's process ended, and with it what it was notified of.
+    /// Drops the notices of a node whose process has ended.
     pub(super) fn forget_node(&mut self, node: NodeId) {
         self.notified.retain(|notice, _| notice.node != node);
     }
 }
 
 impl Invariants {
-    /// Discovery learns whether a server is ready. One that is ready has started.
+    /// Records that discovery learns whether a server is ready. A ready server counts as newly started.
     pub fn readiness_known(&mut self, now: Micros, server: u32, ready: bool) {
         if ready {
             self.drain_notices.not_ready.remove(server);
             self.known_starts.insert(now, server);
         } else {
-            self.drain_notices.not_ready.insert_first(now, server);
+            self.drain_notices.not_ready.insert_if_absent(now, server);
         }
     }
 
-    /// A node is notified whether a server is ready.
+    /// Records that a node is notified whether a server is ready.
     pub fn notified(&mut self, now: Micros, node: NodeId, server: u32, ready: bool) {
         let notice = Notice { node, server };
         let notified = &mut self.drain_notices.notified;
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Checks that the node of an attempt was not notified too long ago that the server is not ready.
+    /// Checks that an attempt is not sent too long after its node was notified that the server is not ready.
     pub(super) fn check_drained(&mut self, now: Micros, node: NodeId, server: u32) {
         let notified_after = self.limits.notified_after;
         let since = self
@@ -72,12 +72,12 @@
             return;
         };
         if after > self.limits.drain_grace {
-            let kind = ViolationKind::SentToDrained {
+            let kind = ViolationKind::SentAfterDrainNotice {
                 node,
                 server,
                 after,
             };
-            self.violated(now, kind);
+            self.record_violation(now, kind);
         }
     }
 }
--- a/crates/cluster-model/src/invariants/duplicate_effect.rs
+++ b/crates/cluster-model/src/invariants/duplicate_effect.rs
@@ -1,4 +1,5 @@
-//! No effect happens twice: a request that must not run again is neither sent nor rejected while an attempt may have run.
+//! Invariant: no effect happens twice. A request that must not run again is neither sent nor rejected once an attempt
+//! of it may have run.
 
 use std::collections::BTreeMap;
 
@@ -7,14 +8,14 @@
 /// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may be retried and rejected freely.
+    /// It may be retried and rejected without restriction.
     Idempotent,
-    /// It carries an idempotency key: servers drop a duplicate for a while.
+    /// It carries an idempotency key. Servers drop duplicates within a time window.
     Deduplicated {
-        /// For how long, in microseconds, after the first attempt that may have run was sent.
+        /// Length of the window in microseconds, from the sending of the first attempt that may have run.
         window: Micros,
     },
-    /// It may run once at most: it is retried or rejected only if no attempt can have run.
+    /// It may run at most once. It may be retried or rejected only if no attempt can have run.
     NotIdempotent,
 }
 
@@ -22,7 +23,7 @@
 #[derive(Debug)]
 pub(super) struct EffectRecord {
     idempotency: Idempotency,
-    /// When each of them was sent.
+    /// Attempts that may have run, with the time at which each was sent.
     may_have_run: BTreeMap<u16, Micros>,
 }
 
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Records an attempt that is sent now. Whether it might be a second run.
+    /// Records an attempt that is sent now. Returns whether it might run the request a second time.
     pub(super) fn sent(&mut self, now: Micros, attempt: u16) -> bool {
         let might_run_twice = self.might_run_twice(now);
         self.may_have_run.insert(attempt, now);
@@ -52,13 +53,13 @@
         }
     }
 
-    /// An attempt is proved never to have run.
+    /// Records the proof that an attempt never ran.
     pub(super) fn never_ran(&mut self, attempt: u16) {
         self.may_have_run.remove(&attempt);
     }
 
-    /// Whether a rejection is untrue: the request may have run, and its caller may not repeat it then.
-    pub(super) fn rejection_is_untrue(&self) -> bool {
+    /// Whether a rejection would be false: the request may have run, and its caller must not repeat it then.
+    pub(super) fn rejection_would_be_false(&self) -> bool {
         self.idempotency == Idempotency::NotIdempotent && !self.may_have_run.is_empty()
     }
 }
--- a/crates/cluster-model/src/invariants/final_answer.rs
+++ b/crates/cluster-model/src/invariants/final_answer.rs
@@ -1,5 +1,6 @@
-//! Every accepted request gets its final answer, at most a grace after its deadline. Only its own client frees it, by
-//! closing the connection: neither the deadline nor trouble at servers or with other clients does.
+//! Invariant: every accepted request gets its final answer, at most the answer grace after its deadline. Only the
+//! request's own client can release the node from answering, by closing the connection or cancelling. An expired
+//! deadline, failing servers and other clients do not.
 
 use super::late_send::RequestEnd;
 use super::request::{AcceptedRequest, RequestKey};
@@ -7,7 +8,7 @@
 use crate::Micros;
 
 impl Invariants {
-    /// A node gives its final answer, which may be a rejection.
+    /// Records that a node sends the final answer to a request, which may be a rejection.
     pub fn answered(&mut self, now: Micros, request: impl Into<RequestKey>, rejected: bool) {
         let request = request.into();
         let Some(accepted) = self.open_request(request) else {
@@ -15,32 +16,32 @@
         };
         accepted.end = Some(RequestEnd::Answered { at: now });
         let answer_due = accepted.answer_due;
-        let untrue = rejected && accepted.effect.rejection_is_untrue();
+        let false_rejection = rejected && accepted.effect.rejection_would_be_false();
         if now > answer_due + self.limits.answer_grace {
-            self.violated(now, ViolationKind::Lost(request));
+            self.record_violation(now, ViolationKind::Lost(request));
         }
-        if untrue {
-            self.violated(now, ViolationKind::RejectedThoughRun(request));
+        if false_rejection {
+            self.record_violation(now, ViolationKind::FalseRejection(request));
         }
     }
 
-    /// A request's connection was closed before the complete answer, by the node or by the end of its process after it
-    /// was told to shut down.
+    /// Records that the connection of a request was closed before the complete answer, either by the node or because
+    /// its process ended after it was told to shut down.
     pub fn aborted(&mut self, now: Micros, request: impl Into<RequestKey>) {
         let request = request.into();
         if let Some(accepted) = self.open_request(request) {
             accepted.end = Some(RequestEnd::Answered { at: now });
-            self.violated(now, ViolationKind::Lost(request));
+            self.record_violation(now, ViolationKind::Lost(request));
         }
     }
 
-    /// A request that has not ended.
+    /// Returns a request that has not ended.
     fn open_request(&mut self, request: RequestKey) -> Option<&mut AcceptedRequest> {
         let accepted = self.requests.get_mut(&request)?;
         accepted.end.is_none().then_some(accepted)
     }
 
-    /// The run ends: requests that should have been answered by now and were not are lost.
+    /// Ends the run. Requests that should have been answered by now and were not are reported as lost.
     pub fn finish(&mut self, now: Micros) {
         let grace = self.limits.answer_grace;
         let overdue = |accepted: &AcceptedRequest| {
--- a/crates/cluster-model/src/invariants/late_send.rs
+++ b/crates/cluster-model/src/invariants/late_send.rs
@@ -1,5 +1,5 @@
-//! Nothing is sent for a request that was answered, nor for one whose client closed its connection or cancelled more than
-//! a moment ago: no first attempt, retry, hedged request or deferred call to the origin.
+//! Invariant: nothing is sent for a request that was answered, or whose client closed its connection or cancelled
+//! longer ago than the grace. This covers first attempts, retries, hedged requests and deferred calls to the origin.
 
 use super::request::{AcceptedRequest, RequestKey};
 use super::{InvariantLimits, Invariants, ViolationKind};
@@ -8,14 +8,14 @@
 /// How and when a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestEnd {
-    /// Its node ended it, mostly by the final answer.
+    /// The node ended the request, usually by sending the final answer.
     Answered { at: Micros },
-    /// Its client closed the connection or cancelled.
+    /// The client closed the connection or cancelled.
     ClientGone { at: Micros },
 }
 
 impl RequestEnd {
-    /// The same end at another time.
+    /// Returns the same kind of end at another time.
     pub(super) fn postponed_to(self, at: Micros) -> Self {
         match self {
             RequestEnd::Answered { .. } => RequestEnd::Answered { at },
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Whether an attempt that begins now is too late.
+    /// Whether an attempt that starts now violates the invariant.
     fn forbids_sending(self, now: Micros, limits: &InvariantLimits) -> bool {
         match self {
             RequestEnd::Answered { at } => now >= at + limits.sent_grace,
@@ -39,14 +39,15 @@
 }
 
 impl AcceptedRequest {
-    /// Whether an attempt that begins now is too late.
+    /// Whether an attempt that starts now violates the invariant.
     pub(super) fn forbids_sending(&self, now: Micros, limits: &InvariantLimits) -> bool {
         self.end.is_some_and(|end| end.forbids_sending(now, limits))
     }
 }
 
 impl Invariants {
-    /// The client of a request has closed its connection or cancelled: its node owes it no answer.
+    /// Records that the client of a request has closed its connection or cancelled. The node need not answer it any
+    /// more.
     pub fn client_gone(&mut self, now: Micros, request: impl Into<RequestKey>) {
         if let Some(accepted) = self.requests.get_mut(&request.into()) {
             accepted
@@ -55,8 +56,8 @@
         }
     }
 
-    /// A node sends an attempt of a request that it had ended and forgotten.
+    /// Records that a node sends an attempt of a request that had ended and is no longer tracked.
     pub fn sent_after_forgetting(&mut self, now: Micros, request: impl Into<RequestKey>) {
-        self.violated(now, ViolationKind::SentAfterEnd(request.into()));
+        self.record_violation(now, ViolationKind::SentAfterEnd(request.into()));
     }
 }
--- a/crates/cluster-model/src/invariants/mod.rs
+++ b/crates/cluster-model/src/invariants/mod.rs
@@ -1,17 +1,17 @@
-//! The invariants of the protocol, checked while a cluster runs. The driver reports what nodes do; each violation is kept
-//! with its time and its parties.
+//! The invariants of the protocol, checked while a cluster runs. The driver reports the actions of the nodes. Each
+//! violation is stored with its time and the node, server or request concerned.
 //!
 //! | module | invariant |
 //! | --- | --- |
 //! | `final_answer` | every accepted request gets its final answer in time |
-//! | `late_send` | nothing is sent for a request that was answered or whose client has gone |
-//! | `told_deadline` | an attempt tells its server no more time than is left |
+//! | `late_send` | nothing is sent for a request that was answered or whose client has left |
+//! | `told_deadline` | an attempt does not overstate the remaining time to its server |
 //! | `duplicate_effect` | no effect happens twice |
-//! | `drain` | nothing is sent to a server long after the notice that it drains |
-//! | `slow_start` | no server that warms up collapses under load from senders who knew of its start |
+//! | `drain` | nothing is sent to a server after the drain grace, which starts at the drain notice |
+//! | `slow_start` | no server that is warming up collapses under load from senders who knew of its start |
 //!
-//! `notification` says when a change counts as known to every node, `pause` what becomes of a node's time while its process
-//! does not run.
+//! `notification` determines when a change counts as known to every node. `pause` extends the time limits of a node
+//! whose process is paused.
 
 mod drain;
 mod duplicate_effect;
@@ -37,21 +37,21 @@
 pub use request::RequestKey;
 pub use violation::{Violation, ViolationKind};
 
-/// Checks the invariants, and keeps the violations so far.
+/// Checks the invariants and records violations.
 #[derive(Debug, Default)]
 pub struct Invariants {
     limits: InvariantLimits,
     requests: BTreeMap<RequestKey, AcceptedRequest>,
     drain_notices: DrainNotices,
-    /// Servers whose latest start discovery knows of.
+    /// The latest start of each server that discovery knows of.
     known_starts: KnownChanges,
-    /// Nodes that are paused, and since when.
+    /// Paused nodes, with the time at which each was paused.
     paused: BTreeMap<NodeId, Micros>,
     violations: Vec<Violation>,
 }
 
 impl Invariants {
-    /// A checker with these limits.
+    /// Creates a checker with these limits.
     pub fn new(limits: InvariantLimits) -> Self {
         Invariants {
             limits,
@@ -64,11 +64,11 @@
         &self.violations
     }
 
-    fn violated(&mut self, at: Micros, kind: ViolationKind) {
+    fn record_violation(&mut self, at: Micros, kind: ViolationKind) {
         self.violations.push(Violation { at, kind });
     }
 
-    /// A node has accepted a request whose client waits until `deadline`.
+    /// Records that a node has accepted a request whose client waits until `deadline`.
     pub fn accepted(
         &mut self,
         request: impl Into<RequestKey>,
@@ -79,31 +79,31 @@
         self.requests.insert(request.into(), accepted);
     }
 
-    /// A node sends an attempt of a request to a server.
+    /// Records that a node sends an attempt of a request to a server.
     pub fn sent(&mut self, now: Micros, request: impl Into<RequestKey>, attempt: u16, server: u32) {
         let request = request.into();
         self.check_drained(now, request.node, server);
         let Some(accepted) = self.requests.get_mut(&request) else {
             return;
         };
-        let ran_twice = accepted.effect.sent(now, attempt);
+        let possible_duplicate = accepted.effect.sent(now, attempt);
         let after_end = accepted.forbids_sending(now, &self.limits);
-        if ran_twice {
-            self.violated(now, ViolationKind::RanTwice(request));
+        if possible_duplicate {
+            self.record_violation(now, ViolationKind::PossibleDuplicate(request));
         }
         if after_end {
-            self.violated(now, ViolationKind::SentAfterEnd(request));
+            self.record_violation(now, ViolationKind::SentAfterEnd(request));
         }
     }
 
-    /// An attempt is proved never to have run.
+    /// Records the proof that an attempt never ran.
     pub fn never_ran(&mut self, request: impl Into<RequestKey>, attempt: u16) {
         if let Some(accepted) = self.requests.get_mut(&request.into()) {
             accepted.effect.never_ran(attempt);
         }
     }
 
-    /// No attempt of a request is in flight any more: it is forgotten if it has ended.
+    /// Stops tracking a request that has ended. To be called once no attempt of the request is in flight any more.
     pub fn forget(&mut self, request: impl Into<RequestKey>) {
         let request = request.into();
         let accepted = self.requests.get(&request);
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Discovery goes down, or can be reached again.
+    /// Records that discovery goes down or becomes reachable again.
     pub fn discovery_reachable(&mut self, now: Micros, reachable: bool) {
         self.drain_notices
             .not_ready
@@ -120,7 +120,7 @@
         self.known_starts.set_discovery_reachable(now, reachable);
     }
 
-    /// A node is killed: its clients must retry, and what it was notified of is forgotten.
+    /// Records that a node is killed. Its clients must retry, and its notices are dropped.
     pub fn killed(&mut self, node: NodeId) {
         self.paused.remove(&node);
         self.requests.retain(|request, _| request.node != node);
--- a/crates/cluster-model/src/invariants/notification.rs
+++ b/crates/cluster-model/src/invariants/notification.rs
@@ -1,40 +1,40 @@
-//! When changes that discovery knows of count as notified at every node.
+//! Tracks since when every node could have learned of a change from discovery.
 
 use std::collections::BTreeMap;
 
 use crate::Micros;
 
-/// Changes that discovery knows of, by the server that changed, and since when a node could have learned of each: since
-/// discovery knew of it and could be reached.
+/// Changes that discovery knows of, by server, with the time since which nodes could have learned of each change: the
+/// time when discovery both knew of the change and was reachable.
 #[derive(Debug, Default)]
 pub(super) struct KnownChanges {
-    /// `None` where discovery has been down since it knew of the change.
+    /// `None` if discovery has been down ever since it learned of the change.
     reachable_since: BTreeMap<u32, Option<Micros>>,
-    discovery_is_down: bool,
+    discovery_down: bool,
 }
 
 impl KnownChanges {
-    /// Discovery learns of a change, in place of an earlier one of the same server.
+    /// Records that discovery learns of a change. It replaces an earlier change of the same server.
     pub(super) fn insert(&mut self, now: Micros, server: u32) {
-        let since = (!self.discovery_is_down).then_some(now);
+        let since = (!self.discovery_down).then_some(now);
         self.reachable_since.insert(server, since);
     }
 
-    /// Discovery learns of a change, unless it knew of one of the same server.
-    pub(super) fn insert_first(&mut self, now: Micros, server: u32) {
+    /// Records that discovery learns of a change, unless a change of the same server is recorded already.
+    pub(super) fn insert_if_absent(&mut self, now: Micros, server: u32) {
         if !self.reachable_since.contains_key(&server) {
             self.insert(now, server);
         }
     }
 
-    /// The change is undone.
+    /// Removes the change of a server that was reversed.
     pub(super) fn remove(&mut self, server: u32) {
         self.reachable_since.remove(&server);
     }
 
-    /// Discovery goes down, or can be reached again.
+    /// Records that discovery goes down or becomes reachable again.
     pub(super) fn set_discovery_reachable(&mut self, now: Micros, reachable: bool) {
-        self.discovery_is_down = !reachable;
+        self.discovery_down = !reachable;
         if reachable {
             for since in self.reachable_since.values_mut() {
                 since.get_or_insert(now);
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Since when a node could have learned of a server's change.
+    /// Time since which nodes could have learned of a server's change.
     pub(super) fn reachable_since(&self, server: u32) -> Option<Micros> {
         self.reachable_since.get(&server).copied().flatten()
     }
--- a/crates/cluster-model/src/invariants/pause.rs
+++ b/crates/cluster-model/src/invariants/pause.rs
@@ -1,5 +1,6 @@
-//! Pauses of a node's process, as on a suspended machine. They are faults of the machine, like a kill: a paused process
-//! neither learns nor answers anything, so that its time begins anew when it resumes. They free no request.
+//! Pauses of a node's process, as on a suspended machine. A pause is a fault of the machine, like a kill. A paused
+//! process can neither receive nor answer anything, so the time limits that expire during a pause start anew when the
+//! process resumes. A pause does not release a node from answering a request.
 
 use super::Invariants;
 use super::request::AcceptedRequest;
@@ -7,7 +8,7 @@
 use crate::endpoint_list::NodeId;
 
 impl AcceptedRequest {
-    /// The node was paused from `since` until now.
+    /// Extends the limits of a request whose node was paused from `since` until now.
     fn resumed(&mut self, since: Micros, now: Micros, answer_grace: Micros) {
         match self.end {
             Some(end) if end.at() >= since => self.end = Some(end.postponed_to(now)),
@@ -21,12 +22,13 @@
 }
 
 impl Invariants {
-    /// A node's process is paused: it learns nothing until it resumes.
+    /// Records that a node's process is paused. It receives nothing until it resumes.
     pub fn paused(&mut self, now: Micros, node: NodeId) {
         self.paused.entry(node).or_insert(now);
     }
 
-    /// A paused node resumes: only now can it answer what became due, and learn which clients left meanwhile.
+    /// Records that a paused node resumes. Only now can it send answers that became due during the pause, and learn
+    /// which clients left.
     pub fn resumed(&mut self, now: Micros, node: NodeId) {
         let Some(since) = self.paused.remove(&node) else {
             return;
--- a/crates/cluster-model/src/invariants/request.rs
+++ b/crates/cluster-model/src/invariants/request.rs
@@ -1,11 +1,11 @@
-//! Requests that nodes have accepted, as the invariants know them.
+//! The accepted requests that the invariants track.
 
 use super::duplicate_effect::{EffectRecord, Idempotency};
 use super::late_send::RequestEnd;
 use crate::Micros;
 use crate::endpoint_list::NodeId;
 
-/// Identifies a request: the node that accepted it, and its id there.
+/// Identifies a request by the node that accepted it and its id at that node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestKey {
     /// The node.
@@ -23,13 +23,14 @@
 /// A request that a node has accepted.
 #[derive(Debug)]
 pub(super) struct AcceptedRequest {
-    /// The client waits until then.
+    /// Time until which the client waits.
     pub(super) deadline: Micros,
-    /// The final answer is due by then, without the grace: the deadline, or the end of a pause of the node over it.
+    /// Time at which the final answer is due, without the grace: the deadline, or the end of a pause of the node that
+    /// lasted beyond it.
     pub(super) answer_due: Micros,
-    /// Its end, if it has ended.
+    /// How and when the request ended, if it has.
     pub(super) end: Option<RequestEnd>,
-    /// Which of its attempts may have run.
+    /// The attempts that may have run.
     pub(super) effect: EffectRecord,
 }
 
--- a/crates/cluster-model/src/invariants/slow_start.rs
+++ b/crates/cluster-model/src/invariants/slow_start.rs
@@ -1,22 +1,23 @@
-//! No server that warms up collapses under load of which over two thirds came from senders who knew of its start.
+//! Invariant: no server that is warming up collapses under load of which more than two thirds came from senders who
+//! knew of its start.
 
 use super::{Invariants, ViolationKind};
 use crate::Micros;
 use crate::slow_start_budget::Collapse;
 
 impl Invariants {
-    /// Whether every node counts as notified of a server's latest start, be it notified or not.
+    /// Whether every node counts as notified of a server's latest start, even if the notification was not delivered.
     pub fn start_counts_as_notified(&self, now: Micros, server: u32) -> bool {
         self.known_starts
             .reachable_since(server)
             .is_some_and(|since| now >= since + self.limits.notified_after)
     }
 
-    /// A server that was warming up collapsed.
+    /// Records that a server collapsed while it was warming up.
     pub fn collapsed(&mut self, server: u32, collapse: Collapse) {
         if collapse.informed_share > self.limits.informed_share {
             let kind = ViolationKind::Overloaded { server, collapse };
-            self.violated(collapse.at, kind);
+            self.record_violation(collapse.at, kind);
         }
     }
 }
--- a/crates/cluster-model/src/invariants/told_deadline.rs
+++ b/crates/cluster-model/src/invariants/told_deadline.rs
@@ -1,11 +1,12 @@
-//! The time that an attempt tells its cache server is at most what is left until its request's deadline.
+//! Invariant: the remaining time that an attempt tells its cache server does not exceed the time that is left until the
+//! deadline of its request, apart from a slack.
 
 use super::request::RequestKey;
 use super::{Invariants, ViolationKind};
 use crate::Micros;
 
 impl Invariants {
-    /// An attempt that is sent now tells its cache server that the node will wait this long.
+    /// Records that an attempt that is sent now tells its cache server how long the node will wait.
     pub fn told_deadline(
         &mut self,
         now: Micros,
@@ -17,8 +18,8 @@
             return;
         };
         let excess = (now + remaining).saturating_sub(accepted.deadline);
-        if excess > self.limits.told_deadline_slack {
-            self.violated(now, ViolationKind::ToldTooLong { request, excess });
+        if excess > self.limits.deadline_slack {
+            self.record_violation(now, ViolationKind::DeadlineOverstated { request, excess });
         }
     }
 }
--- a/crates/cluster-model/src/invariants/violation.rs
+++ b/crates/cluster-model/src/invariants/violation.rs
@@ -1,4 +1,4 @@
-//! Violations of the invariants, and their description in words.
+//! Violations of the invariants and their textual description.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -10,32 +10,32 @@
 /// A violation of an invariant.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Violation {
-    /// When, in microseconds.
+    /// Time of the violation, in microseconds.
     pub at: Micros,
-    /// Which invariant, and by whom.
+    /// The violated invariant and the node, server or request concerned.
     pub kind: ViolationKind,
 }
 
-/// Which invariant was violated, and by whom.
+/// The violated invariant and the node, server or request concerned.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ViolationKind {
-    /// A request had no final answer in time, or none at all.
+    /// A request received its final answer too late or not at all.
     Lost(RequestKey),
-    /// A request was sent after its node had ended it, or after its client had gone.
+    /// An attempt was sent after its node had ended the request or after the client had left.
     SentAfterEnd(RequestKey),
-    /// An attempt told its server more time than was left.
-    ToldTooLong {
+    /// An attempt told its server a longer remaining time than its request had.
+    DeadlineOverstated {
         /// The request.
         request: RequestKey,
-        /// How much more, in microseconds.
+        /// Difference between the stated and the real remaining time, in microseconds.
         excess: Micros,
     },
-    /// A request that must not run twice was sent while an attempt may have run.
-    RanTwice(RequestKey),
-    /// A request was rejected, which says that it did not run, while an attempt may have.
-    RejectedThoughRun(RequestKey),
-    /// A node sent an attempt to a server too long after the notice that the server drains or is gone.
-    SentToDrained {
+    /// An attempt of a request that must not run twice was sent although an earlier attempt may have run.
+    PossibleDuplicate(RequestKey),
+    /// A request was rejected, which states that it did not run, although an attempt may have run.
+    FalseRejection(RequestKey),
+    /// A node sent an attempt to a server too long after the notice that the server drains or was removed.
+    SentAfterDrainNotice {
         /// The node.
         node: NodeId,
         /// The server.
@@ -43,16 +43,16 @@
         /// Time since the notice, in microseconds.
         after: Micros,
     },
-    /// A server that was warming up collapsed under load from senders who knew of its start.
+    /// A server that was warming up collapsed under load that mostly came from senders who knew of its start.
     Overloaded {
         /// The server.
         server: u32,
-        /// How it collapsed.
+        /// The load and the time of the collapse.
         collapse: Collapse,
     },
 }
 
-/// Microseconds as seconds, for messages.
+/// Converts microseconds to seconds.
 fn seconds(time: Micros) -> f64 {
     time as f64 / 1e6
 }
@@ -73,7 +73,7 @@
             ViolationKind::SentAfterEnd(RequestKey { node, id }) => {
                 write!(f, "lost: node {node} sent request {id} after its end")
             }
-            ViolationKind::ToldTooLong {
+            ViolationKind::DeadlineOverstated {
                 request: RequestKey { node, id },
                 excess,
             } => write!(
@@ -81,15 +81,15 @@
                 "deadline: node {node} told a server {:.3} s more than was left of request {id}",
                 seconds(*excess)
             ),
-            ViolationKind::RanTwice(RequestKey { node, id }) => write!(
+            ViolationKind::PossibleDuplicate(RequestKey { node, id }) => write!(
                 f,
                 "dup: node {node} sent request {id} though it may have run"
             ),
-            ViolationKind::RejectedThoughRun(RequestKey { node, id }) => write!(
+            ViolationKind::FalseRejection(RequestKey { node, id }) => write!(
                 f,
                 "dup: node {node} refused request {id} though it may have run"
             ),
-            ViolationKind::SentToDrained {
+            ViolationKind::SentAfterDrainNotice {
                 node,
                 server,
                 after,
--- a/crates/cluster-model/src/machine.rs
+++ b/crates/cluster-model/src/machine.rs
@@ -1,48 +1,48 @@
-//! A machine that works on several jobs at once. Jobs share its cores evenly; it has a limited number of slots and a
-//! limited queue, loses efficiency under congestion, is slower while it warms up or while a neighbour uses part of it,
-//! and rejects jobs that exceed its queue.
+//! A machine that processes several jobs concurrently. Running jobs share the cores evenly. The number of slots and the
+//! length of the queue are limited, and jobs that exceed the queue are rejected. The machine loses efficiency under
+//! congestion, and is slower while it warms up or while another tenant of its host uses part of the capacity.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, VecDeque};
 
 use crate::Micros;
 
-/// Identifies a job; the number is the caller's own.
+/// Identifies a job. The caller assigns the number.
 pub type JobId = u64;
 
-/// A neighbour never takes more than this share: some capacity remains, so that every job ends.
+/// Upper limit of the stolen share of the capacity. The rest ensures that every job completes.
 const MAX_STOLEN_SHARE: f64 = 0.99;
 
-/// Jobs with less work than this, in microseconds of the reference core, count as this much.
+/// Minimum work of a job, in microseconds of the reference core. Smaller jobs are rounded up to it.
 const MIN_JOB_WORK: f64 = 1.0;
 
-/// Work that may be left when a job counts as completed, in microseconds of a core: what rounding completion times to
-/// whole microseconds leaves undone.
+/// Work that may remain when a job counts as completed, in microseconds of a core. Completion times are rounded to
+/// whole microseconds, which can leave this much work undone.
 const ROUNDING_REMAINDER: f64 = 0.5;
 
 /// Properties of a machine. Times are in microseconds.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineConfig {
-    /// Number of cores. One job uses one at most.
+    /// Number of cores. A job uses at most one core.
     pub cores: f64,
     /// Speed of a core as a multiple of the reference core.
     pub speed: f64,
-    /// Jobs that are worked on at once.
+    /// Maximum number of jobs that run concurrently.
     pub slots: usize,
-    /// Jobs that may wait for a slot.
+    /// Maximum number of jobs that wait for a slot.
     pub queue_capacity: usize,
-    /// Above this number of jobs per core, in slots or queued, it loses efficiency.
+    /// Number of jobs per core, running or queued, above which the machine loses efficiency.
     pub congestion_threshold: f64,
-    /// Efficiency lost for each further job per core.
+    /// Efficiency loss for each job per core above the threshold: efficiency is 1 / (1 + loss * excess).
     pub congestion_loss: f64,
-    /// Fraction of the full capacity that it has right after a start; 1 for all.
+    /// Fraction of the full capacity that is available right after a start; 1 disables the warm-up.
     pub cold_share: f64,
-    /// It is warm after this time at the latest.
+    /// Maximum duration of the warm-up.
     pub warm_up: Micros,
-    /// Fraction of the work possible in `warm_up` that alone would make it warm: at 0.5, a machine kept half busy is
-    /// warm after half the time. 0: it warms up by time alone.
+    /// Work that completes the warm-up, as a fraction of the work that is possible in `warm_up`. At 0.5, a machine that
+    /// is kept half busy is warm after half the time. At 0, only time warms the machine up.
     pub warm_by_work: f64,
-    /// Whether a job that is cancelled while it is queued leaves the queue.
+    /// Whether a queued job that is cancelled is removed from the queue.
     pub drops_cancelled: bool,
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// An amount of work with a total order, for the queue of completions.
+/// An amount of work with a total order, for use in the priority queue of completions.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Work(f64);
 
@@ -81,7 +81,7 @@
     }
 }
 
-/// When a job in a slot is completed, on the scale of [`Machine::work_per_job`]. Ordered by work first, then by job.
+/// The value of [`Machine::work_per_job`] at which a running job completes. Ordered by work, then by job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Completion {
     work: Work,
@@ -95,28 +95,29 @@
     work: f64,
 }
 
-/// A machine at work. The times passed to it must never decrease.
+/// A running machine. The times that are passed to its methods must never decrease.
 #[derive(Debug, Clone)]
 pub struct Machine {
     config: MachineConfig,
     started: Micros,
-    /// Work is accounted for up to this time.
+    /// Completed work is accounted for up to this time.
     accounted_until: Micros,
-    /// Work that each job in a slot has had since the machine's start. Jobs share evenly, so one number does for all.
+    /// Cumulative work per running job since the machine's start. One number serves all jobs, as they share evenly.
     work_per_job: f64,
-    /// Jobs in slots, the next to be completed first.
+    /// Completions of the running jobs, earliest first.
     completions: BinaryHeap<Reverse<Completion>>,
-    /// Jobs in slots.
+    /// Jobs that occupy a slot.
     running: BTreeSet<JobId>,
     queue: VecDeque<QueuedJob>,
-    /// Fraction of the capacity that a neighbour uses.
+    /// Fraction of the capacity that another tenant of the host uses.
     stolen_share: f64,
     /// Work done since the start, in microseconds of the reference core.
     work_done: f64,
 }
 
 impl Machine {
-    /// A machine that started at `started`: long ago for one that is warm.
+    /// Creates an idle machine that started at `started`. A start that lies `warm_up` or more in the past makes it
+    /// warm.
     pub fn new(config: MachineConfig, started: Micros, now: Micros) -> Self {
         Machine {
             config,
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Fraction of the full capacity that it has reached, by time and by the work it has done.
+    /// Fraction of the full capacity that the warm-up has reached, by elapsed time and by completed work.
     pub fn warm_fraction(&self, now: Micros) -> f64 {
         let MachineConfig {
             cold_share,
@@ -154,35 +155,35 @@
         (cold_share + (1.0 - cold_share) * (by_time + by_work)).min(1.0)
     }
 
-    /// Work that it can do now, in seconds of the reference core per second.
+    /// Current capacity, in seconds of the reference core per second.
     pub fn capacity(&self, now: Micros) -> f64 {
         self.config.cores * self.config.speed * self.warm_fraction(now) * (1.0 - self.stolen_share)
     }
 
-    /// Number of jobs in slots and queued.
+    /// Number of running and queued jobs.
     pub fn job_count(&self) -> usize {
         self.running.len() + self.queue.len()
     }
 
-    /// Number of jobs queued.
+    /// Number of queued jobs.
     pub fn queue_length(&self) -> usize {
         self.queue.len()
     }
 
-    /// Fraction of its cores that is in use.
+    /// Fraction of the cores that are in use.
     pub fn utilization(&self) -> f64 {
         (self.running.len() as f64 / self.config.cores).min(1.0)
     }
 
-    /// From now on a neighbour uses this fraction of the capacity, 0 for none.
+    /// Sets the fraction of the capacity that another tenant of the host uses from now on; 0 for none.
     pub fn set_stolen_share(&mut self, now: Micros, share: f64) {
-        self.catch_up(now);
+        self.advance_to(now);
         self.stolen_share = share.clamp(0.0, MAX_STOLEN_SHARE);
     }
 
-    /// Accepts a job with `work` in microseconds of the reference core; false if slots and queue are full.
+    /// Submits a job with `work` in microseconds of the reference core. Returns false if slots and queue are full.
     pub fn submit(&mut self, now: Micros, job: JobId, work: f64) -> bool {
-        self.catch_up(now);
+        self.advance_to(now);
         if self.running.len() < self.config.slots {
             self.run(job, work);
         } else if self.queue.len() < self.config.queue_capacity {
@@ -193,28 +194,29 @@
         true
     }
 
-    /// Work that belongs to no job, such as a handshake or a rejection: it delays all jobs in slots.
+    /// Charges work that belongs to no job, such as a handshake or a rejection. It delays all running jobs.
     pub fn charge_overhead(&mut self, now: Micros, work: f64) {
-        self.catch_up(now);
+        self.advance_to(now);
         let jobs = self.running.len();
         if jobs > 0 {
             self.work_per_job -= work / (jobs as f64).max(self.config.cores);
         }
     }
 
-    /// Cancels a job. True if it was dropped from the queue; a job in a slot is worked on to its end.
+    /// Cancels a job. Returns true if it was removed from the queue. A running job continues until it completes.
     pub fn cancel(&mut self, now: Micros, job: JobId) -> bool {
-        self.catch_up(now);
+        self.advance_to(now);
         if !self.config.drops_cancelled {
             return false;
         }
-        let place = self.queue.iter().position(|queued| queued.job == job);
-        place.is_some_and(|place| self.queue.remove(place).is_some())
+        let index = self.queue.iter().position(|queued| queued.job == job);
+        index.is_some_and(|index| self.queue.remove(index).is_some())
     }
 
-    /// The jobs that are completed by now, in the order of completion. Queued jobs take the slots that become free.
+    /// Returns the jobs that have completed by now, in order of completion. Queued jobs take the slots that become
+    /// free.
     pub fn take_completed(&mut self, now: Micros) -> Vec<JobId> {
-        self.catch_up(now);
+        self.advance_to(now);
         let mut completed = Vec::new();
         while let Some(&Reverse(Completion {
             work: Work(end),
@@ -232,7 +234,7 @@
         completed
     }
 
-    /// When the next job will be completed if no other arrives before.
+    /// Time at which the next job completes if no other job arrives before.
     pub fn next_event_at(&self) -> Option<Micros> {
         let Reverse(next) = self.completions.peek()?;
         let Work(end) = next.work;
@@ -240,7 +242,7 @@
         Some(self.accounted_until + (left.ceil() as Micros).max(1))
     }
 
-    /// Stops the machine. Returns the jobs in slots, then those queued; all are lost.
+    /// Stops the machine, which loses all jobs. Returns the running jobs, then the queued jobs.
     pub fn stop(&mut self) -> Vec<JobId> {
         self.completions.clear();
         let running = std::mem::take(&mut self.running);
@@ -257,7 +259,7 @@
         self.running.insert(job);
     }
 
-    /// Work that each job in a slot gets in a microsecond.
+    /// Work that each running job receives in a microsecond.
     fn work_rate(&self, now: Micros) -> f64 {
         let MachineConfig {
             cores,
@@ -271,8 +273,8 @@
         self.capacity(now) / cores * (cores / jobs).min(1.0) * efficiency
     }
 
-    /// Accounts for the work done since the last call.
-    fn catch_up(&mut self, now: Micros) {
+    /// Accounts for the work that was done since the previous call.
+    fn advance_to(&mut self, now: Micros) {
         let elapsed = now.saturating_sub(self.accounted_until) as f64;
         let work = elapsed * self.work_rate(self.accounted_until);
         if !self.running.is_empty() {
--- a/crates/cluster-model/src/memory.rs
+++ b/crates/cluster-model/src/memory.rs
@@ -1,17 +1,18 @@
-//! The memory of a cache server: values by key, evicted by age and, when space runs out, least recently used first.
+//! The memory of a cache server: values by key. Values expire by age. When space runs out, the least recently used
+//! values are evicted.
 
 use lru::LruCache;
 
 use crate::Micros;
 
-/// Size and age of a cached value; its content is not modelled.
+/// Size and storage time of a cached value. The content is not modelled.
 #[derive(Debug, Clone, Copy)]
 struct CachedValue {
     bytes: u64,
     stored_at: Micros,
 }
 
-/// A memory of limited size.
+/// An LRU cache of limited size.
 #[derive(Debug)]
 pub struct Memory {
     capacity_bytes: u64,
@@ -21,7 +22,7 @@
 }
 
 impl Memory {
-    /// An empty memory of `capacity_bytes`, whose values expire after `time_to_live` microseconds (0: never).
+    /// Creates an empty memory of `capacity_bytes`. Values expire after `time_to_live` microseconds; 0 for never.
     pub fn new(capacity_bytes: u64, time_to_live: Micros) -> Self {
         Memory {
             capacity_bytes,
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Whether a key is cached; if so, it counts as used now.
+    /// Whether a key is cached. A cached key counts as used now.
     pub fn get(&mut self, now: Micros, key: u64) -> bool {
         let Some(value) = self.values.get(&key) else {
             return false;
@@ -43,7 +44,7 @@
         !expired
     }
 
-    /// Stores a value of `bytes`, evicting others as needed. A value larger than the whole memory is not kept.
+    /// Stores a value of `bytes`, evicting others as needed. A value larger than the whole memory is not stored.
     pub fn store(&mut self, now: Micros, key: u64, bytes: u64) {
         self.remove(key);
         if bytes > self.capacity_bytes {
@@ -71,12 +72,12 @@
         self.used_bytes
     }
 
-    /// Number of keys, including expired ones that nobody has looked up since.
+    /// Number of keys, including expired ones that have not been looked up since they expired.
     pub fn len(&self) -> usize {
         self.values.len()
     }
 
-    /// Whether it holds no key.
+    /// Whether the memory holds no key.
     pub fn is_empty(&self) -> bool {
         self.values.is_empty()
     }
--- a/crates/cluster-model/src/network.rs
+++ b/crates/cluster-model/src/network.rs
@@ -1,5 +1,5 @@
-//! The network between zones: how long a message takes, which links are cut, and which answers arrive damaged. A cut is
-//! silent: a message sent into it is lost, and nobody is notified.
+//! The network between zones: message delays, cut links and damaged answers. A message that is sent over a cut link is
+//! lost, and neither the sender nor the receiver is notified.
 
 use std::collections::BTreeSet;
 
@@ -10,16 +10,16 @@
 /// A zone, by its index in the scenario.
 pub type Zone = u8;
 
-/// Delays and losses of the network. Delays are one way, in microseconds.
+/// Delays and losses of the network. Delays are one-way, in microseconds.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NetworkConfig {
     /// Delay within a zone.
     pub same_zone: Micros,
     /// Delay between zones.
     pub cross_zone: Micros,
-    /// Each message takes up to this fraction longer, at random.
+    /// Maximum random extra delay of a message, as a fraction of its base delay.
     pub jitter: f64,
-    /// Fraction of the messages that are lost.
+    /// Fraction of messages that are lost.
     pub loss: f64,
 }
 
@@ -34,27 +34,27 @@
     }
 }
 
-/// Fractions of the answers that do not arrive as they were sent. The rest of 1 arrives intact.
+/// Fractions of answers that do not arrive as they were sent. All other answers arrive intact.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct AnswerFaults {
     /// Nothing arrives, and the connection stays open.
     pub lost: f64,
-    /// Other bytes arrive than were sent.
+    /// The bytes that arrive differ from the bytes that were sent.
     pub corrupted: f64,
-    /// The connection is reset instead.
+    /// Nothing arrives, and the connection is reset.
     pub reset: f64,
 }
 
 /// How an answer arrives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Delivery {
-    /// As it was sent.
+    /// The answer arrives as it was sent.
     Complete,
-    /// Not at all, and the connection stays open.
+    /// Nothing arrives, and the connection stays open.
     Lost,
-    /// As other bytes than were sent.
+    /// The bytes that arrive differ from the bytes that were sent.
     Corrupted,
-    /// Not at all, as the connection is reset.
+    /// Nothing arrives, and the connection is reset.
     Reset,
 }
 
@@ -65,7 +65,7 @@
     to: Zone,
 }
 
-/// The network.
+/// The network between all zones.
 #[derive(Debug, Clone, Default)]
 pub struct Network {
     config: NetworkConfig,
@@ -74,7 +74,7 @@
 }
 
 impl Network {
-    /// A network in which every link works.
+    /// Creates a network without cut links or damaged answers.
     pub fn new(config: NetworkConfig) -> Self {
         Network {
             config,
@@ -93,7 +93,8 @@
         }
     }
 
-    /// Cuts a zone off from all others of `zones`, or restores its links, in both directions.
+    /// Cuts or restores all links between a zone and the other zones, in both directions. `zones` is the number of
+    /// zones.
     pub fn set_isolated(&mut self, zone: Zone, zones: Zone, isolated: bool) {
         for other in (0..zones).filter(|other| *other != zone) {
             self.set_cut(zone, other, isolated);
@@ -101,12 +102,12 @@
         }
     }
 
-    /// Whether the link from one zone to another works.
+    /// Whether the link from one zone to another is not cut.
     pub fn is_open(&self, from: Zone, to: Zone) -> bool {
         !self.cut_links.contains(&Link { from, to })
     }
 
-    /// From now on these fractions of the answers arrive damaged.
+    /// Sets the fractions of answers that arrive damaged from now on.
     pub fn set_answer_faults(&mut self, faults: AnswerFaults) {
         self.answer_faults = faults;
     }
@@ -133,7 +134,7 @@
         } else {
             self.config.cross_zone
         };
-        // Both are drawn in any case, so that a cut does not shift the draws that come after it.
+        // Both values are drawn even if the link is cut, so that a cut does not shift later draws.
         let jitter = random.random::<f64>();
         let loss = random.random::<f64>();
         let arrives = self.is_open(from, to) && loss >= self.config.loss;
--- a/crates/cluster-model/src/origin.rs
+++ b/crates/cluster-model/src/origin.rs
@@ -1,5 +1,6 @@
-//! The origin: a machine that serves all fetches and writes. It rejects calls that exceed its queue, keeps working on
-//! calls whose callers have gone, can fail a fraction of its calls, and collapses when it stays saturated for too long.
+//! The origin: a machine that serves all fetches and writes. It rejects calls that exceed its queue, and continues to
+//! process calls whose callers have left. It can be made to fail a fraction of its calls. It collapses when it stays
+//! saturated for too long.
 
 use rand::Rng;
 
@@ -10,71 +11,71 @@
 /// Properties of the origin. Times are in microseconds.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct OriginConfig {
-    /// The machine that it runs on.
+    /// The machine that the origin runs on.
     pub machine: MachineConfig,
-    /// It collapses after rejecting calls for this long without relief; 0: never.
+    /// Duration of saturation after which the origin collapses; 0 for never.
     pub collapse_after: Micros,
-    /// A pause this long without a rejection counts as relief.
+    /// Time without a rejection that ends a period of saturation.
     pub relief: Micros,
-    /// After a collapse it is back after this time.
+    /// Time from a collapse until the origin accepts calls again.
     pub recovery: Micros,
 }
 
 /// How the origin answers a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Response {
-    /// With the value or the receipt (200).
+    /// The call succeeded, and the response has the value or the receipt (200).
     Done,
-    /// With a failure, and the call may have run (500).
+    /// The call failed and may have run (500).
     Failed,
-    /// The call never ran, for want of capacity (503) or as a server behind the origin did not answer (504).
+    /// The call did not run, as the origin had no capacity (503) or a server behind the origin did not answer (504).
     Unprocessed,
-    /// No process is there: the connection is refused.
+    /// No process is running, so the connection is refused.
     Refused,
 }
 
-/// How calls are made to fail.
+/// How an injected fault makes calls fail.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// They are worked on and fail at the end.
+    /// Calls are processed and fail at the end.
     Late,
-    /// They are rejected at once, unprocessed.
+    /// Calls are rejected on arrival, unprocessed.
     Early,
 }
 
-/// What becomes of a call on arrival.
+/// Result of the arrival of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Admission {
-    /// It is worked on; its response comes later from [`Origin::take_completed`].
+    /// The call was accepted. [`Origin::take_completed`] returns its response later.
     Accepted,
-    /// It has its response at once.
+    /// The call gets this response immediately.
     Answered(Response),
-    /// It made the origin collapse; these accepted calls are lost.
+    /// The call made the origin collapse. These accepted calls are lost.
     Collapsed(Vec<JobId>),
 }
 
 /// A fault that is injected into a fraction of the calls.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FaultInjection {
-    /// How they fail.
+    /// How the calls fail.
     pub fault: Fault,
-    /// The fraction of the calls that fail.
+    /// Fraction of the calls that fail.
     pub share: f64,
 }
 
-/// A period in which the origin rejected calls without relief.
+/// A period in which the origin kept rejecting calls. It ends after [`OriginConfig::relief`] without a rejection.
 #[derive(Debug, Clone, Copy)]
 struct Saturation {
     since: Micros,
     last_rejection: Micros,
 }
 
-/// The origin. The times passed to it must never decrease.
+/// The origin. The times that are passed to its methods must never decrease.
 #[derive(Debug)]
 pub struct Origin {
     config: OriginConfig,
     machine: Machine,
-    /// The response that each accepted call will get.
+    /// The accepted calls with the response that each will get.
     accepted: AcceptedJobs<Response>,
     fault: Option<FaultInjection>,
     saturation: Option<Saturation>,
@@ -83,7 +84,7 @@
 }
 
 impl Origin {
-    /// An origin that is warm and idle.
+    /// Creates an origin that is warm and idle.
     pub fn new(config: OriginConfig, now: Micros) -> Origin {
         let machine = Machine::new(config.machine.clone(), 0, now);
         Origin {
@@ -97,12 +98,12 @@
         }
     }
 
-    /// From now on calls fail as given; `None` ends the fault.
+    /// Sets the fault that calls have from now on; `None` for no fault.
     pub fn set_fault(&mut self, fault: Option<FaultInjection>) {
         self.fault = fault;
     }
 
-    /// From now on this fraction of the machine's capacity is used by others.
+    /// Sets the fraction of the machine's capacity that other tenants of the host use from now on.
     pub fn set_stolen_share(&mut self, now: Micros, share: f64) {
         self.machine.set_stolen_share(now, share);
     }
@@ -112,7 +113,7 @@
         self.collapses
     }
 
-    /// A call arrives, with `work` in microseconds of the reference core.
+    /// Submits a call with `work` in microseconds of the reference core.
     pub fn submit(
         &mut self,
         now: Micros,
@@ -120,7 +121,7 @@
         work: f64,
         random: &mut RandomStream,
     ) -> Admission {
-        // Drawn in any case, so that a fault does not shift the draws that come after it.
+        // Drawn even without a fault, so that a fault does not shift later draws.
         let draw = random.random::<f64>();
         if self.down_until.is_some_and(|until| now < until) {
             return Admission::Answered(Response::Refused);
@@ -136,14 +137,14 @@
             self.accepted.insert(job, response);
             return Admission::Accepted;
         }
-        if self.rejection_is_fatal(now) {
+        if self.rejection_causes_collapse(now) {
             return Admission::Collapsed(self.collapse(now));
         }
         Admission::Answered(Response::Unprocessed)
     }
 
-    /// Records a rejection. Whether the origin has been saturated for too long.
-    fn rejection_is_fatal(&mut self, now: Micros) -> bool {
+    /// Records a rejection. Returns whether it makes the origin collapse, as the saturation has lasted too long.
+    fn rejection_causes_collapse(&mut self, now: Micros) -> bool {
         let relief = self.config.relief;
         let since = self
             .saturation
@@ -156,7 +157,7 @@
         self.config.collapse_after > 0 && now >= since + self.config.collapse_after
     }
 
-    /// The process dies and restarts later. Returns the accepted calls, which are lost.
+    /// Stops the process until its restart. Returns the accepted calls, which are lost.
     fn collapse(&mut self, now: Micros) -> Vec<JobId> {
         self.saturation = None;
         self.down_until = Some(now + self.config.recovery);
@@ -167,12 +168,12 @@
         lost
     }
 
-    /// The calls that are completed by now, with their responses.
+    /// Returns the calls that have completed by now, with their responses.
     pub fn take_completed(&mut self, now: Micros) -> Vec<CompletedJob<Response>> {
         self.accepted.take_completed(&mut self.machine, now)
     }
 
-    /// When the next call will be completed if no other arrives before.
+    /// Time at which the next call completes if no other call arrives before.
     pub fn next_event_at(&self) -> Option<Micros> {
         self.machine.next_event_at()
     }
--- a/crates/cluster-model/src/server.rs
+++ b/crates/cluster-model/src/server.rs
@@ -1,5 +1,5 @@
-//! A cache server: a machine with a memory. It answers with hits and misses, rejects attempts that exceed its queue, and
-//! collapses when it is sent more than it can do for too long while it warms up.
+//! A cache server: a machine with a memory of cached values. It answers with hits and misses and rejects attempts that
+//! exceed its queue. While it warms up, it collapses if the load of a time window exceeds its slow-start budget.
 
 use crate::Micros;
 use crate::accepted_jobs::{AcceptedJobs, CompletedJob};
@@ -10,17 +10,17 @@
 /// Properties of a cache server. Times are in microseconds, work in microseconds of the reference core.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CacheServerConfig {
-    /// The machine that it runs on.
+    /// The machine that the server runs on.
     pub machine: MachineConfig,
-    /// Size of its memory in bytes.
+    /// Size of the memory in bytes.
     pub memory_bytes: u64,
-    /// Values expire after this time; 0 for never.
+    /// Time after which values expire; 0 for never.
     pub time_to_live: Micros,
     /// Work of a miss as a fraction of the work of a hit.
     pub miss_work_share: f64,
     /// Work of a rejection.
     pub rejection_work: f64,
-    /// What it bears while it warms up.
+    /// Load that the server withstands while it warms up.
     pub slow_start: SlowStartBudget,
 }
 
@@ -37,42 +37,42 @@
     }
 }
 
-/// What an attempt asks for.
+/// The lookup that an attempt requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Lookup {
-    /// The key.
+    /// The requested key.
     pub key: u64,
     /// Work of a hit, in microseconds of the reference core.
     pub work: f64,
-    /// Whether the sender knew, or should have known, when this server last started.
+    /// Whether the sender knew, or should have known, the time of the latest start of this server.
     pub informed: bool,
 }
 
 /// How a cache server answers an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Response {
-    /// With the value.
+    /// The response has the value.
     Hit,
-    /// It does not have the value.
+    /// The server does not have the value.
     Miss,
-    /// It rejected the attempt unprocessed.
+    /// The server rejected the attempt unprocessed.
     Busy,
-    /// No process is there: the connection is refused.
+    /// No process is running, so the connection is refused.
     Refused,
 }
 
-/// What becomes of an attempt on arrival.
+/// Result of the arrival of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Admission {
-    /// It is worked on; its response comes later from [`CacheServer::take_completed`].
+    /// The attempt was accepted. [`CacheServer::take_completed`] returns its response later.
     Accepted,
-    /// It has its response at once.
+    /// The attempt gets this response immediately.
     Answered(Response),
-    /// It made the server collapse; these accepted attempts are lost.
+    /// The attempt made the server collapse. These accepted attempts are lost.
     Collapsed(Vec<JobId>),
 }
 
-/// A cache server. The times passed to it must never decrease.
+/// A cache server. The times that are passed to its methods must never decrease.
 #[derive(Debug)]
 pub struct CacheServer {
     config: CacheServerConfig,
@@ -81,16 +81,16 @@
     started: Micros,
     running: bool,
     draining: bool,
-    /// The response that each accepted attempt will get.
+    /// The accepted attempts with the response that each will get.
     accepted: AcceptedJobs<Response>,
     offered: OfferedLoad,
     collapse: Option<Collapse>,
 }
 
 impl CacheServer {
-    /// A server with an empty memory that started at `started` (0: long ago, so that it is warm).
+    /// Creates a server with an empty memory that started at `started`. 0 means long ago: the server is warm.
     pub fn new(config: CacheServerConfig, started: Micros, now: Micros) -> Self {
-        // One that started long ago is warm, wherever the clock begins.
+        // The clock may begin shortly after 0, so a server that started long ago is made warm by its configuration.
         let cold_share = if started == 0 {
             1.0
         } else {
@@ -113,42 +113,42 @@
         }
     }
 
-    /// When its process started, 0 for long ago.
+    /// Time at which the process started; 0 for long ago.
     pub fn started(&self) -> Micros {
         self.started
     }
 
-    /// Whether its process runs.
+    /// Whether the process is running.
     pub fn is_running(&self) -> bool {
         self.running
     }
 
-    /// How it collapsed, if it did.
+    /// The collapse of the server, if it has collapsed.
     pub fn collapse(&self) -> Option<Collapse> {
         self.collapse
     }
 
-    /// Its machine.
+    /// The machine that the server runs on.
     pub fn machine(&self) -> &Machine {
         &self.machine
     }
 
-    /// Its memory.
+    /// The cached values.
     pub fn memory(&mut self) -> &mut Memory {
         &mut self.memory
     }
 
-    /// From now on a neighbour uses this fraction of the machine, 0 for none.
+    /// Sets the fraction of the machine that another tenant of the host uses from now on; 0 for none.
     pub fn set_stolen_share(&mut self, now: Micros, share: f64) {
         self.machine.set_stolen_share(now, share);
     }
 
-    /// From now on it completes what it has accepted and rejects everything else.
+    /// Starts draining: the server completes the attempts that it has accepted and rejects all others.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// Its process ends. Returns the accepted attempts, which get no response.
+    /// Stops the process. Returns the accepted attempts, which get no response.
     pub fn stop(&mut self) -> Vec<JobId> {
         self.running = false;
         self.accepted.clear();
@@ -156,22 +156,22 @@
         self.machine.stop()
     }
 
-    /// A new process starts in its place, empty and cold.
+    /// Starts a new process with an empty memory on a cold machine.
     pub fn restart(&mut self, now: Micros) {
         self.stop();
-        // A start at time 0 would mean "long ago".
+        // A start at time 0 would mean "long ago", and the server would be warm.
         *self = CacheServer::new(self.config.clone(), now.max(1), now);
     }
 
-    /// An attempt arrives.
+    /// Submits an attempt.
     pub fn submit(&mut self, now: Micros, job: JobId, lookup: Lookup) -> Admission {
         if !self.running {
             return Admission::Answered(Response::Refused);
         }
-        if self.collapses_under(now, &lookup) {
+        if self.collapses_on_arrival(now, &lookup) {
             return Admission::Collapsed(self.stop());
         }
-        // The response is settled on arrival: a value that is stored before completion is not seen.
+        // The response is determined on arrival. A value that is stored before the completion has no effect on it.
         let hit = self.memory.get(now, lookup.key);
         let (response, work) = if hit {
             (Response::Hit, lookup.work)
@@ -187,9 +187,10 @@
         Admission::Accepted
     }
 
-    /// Whether one more attempt makes it collapse. Attempts that will be rejected count as well. The capacity at the end
-    /// of the window stands for the whole window, in which it changes little.
-    fn collapses_under(&mut self, now: Micros, lookup: &Lookup) -> bool {
+    /// Records the load of an arriving attempt, and returns whether the attempt makes the server collapse. Attempts
+    /// that will be rejected count as well. The capacity at the end of the window is used for the whole window, as it
+    /// changes little within it.
+    fn collapses_on_arrival(&mut self, now: Micros, lookup: &Lookup) -> bool {
         let budget = self.config.slow_start;
         if !budget.is_limited() || self.machine.warm_fraction(now) >= 1.0 {
             self.offered.clear();
@@ -206,7 +207,7 @@
         self.collapse.is_some()
     }
 
-    /// Cancels an attempt. True if it is dropped; otherwise it is worked on and gets its response.
+    /// Cancels an attempt. Returns true if it was dropped. Otherwise it is processed and gets its response.
     pub fn cancel(&mut self, now: Micros, job: JobId) -> bool {
         let dropped = self.machine.cancel(now, job);
         if dropped {
@@ -215,12 +216,12 @@
         dropped
     }
 
-    /// The attempts that are completed by now, with their responses.
+    /// Returns the attempts that have completed by now, with their responses.
     pub fn take_completed(&mut self, now: Micros) -> Vec<CompletedJob<Response>> {
         self.accepted.take_completed(&mut self.machine, now)
     }
 
-    /// When the next attempt will be completed if no other arrives before.
+    /// Time at which the next attempt completes if no other attempt arrives before.
     pub fn next_event_at(&self) -> Option<Micros> {
         self.machine.next_event_at().filter(|_| self.running)
     }
--- a/crates/cluster-model/src/slow_start_budget.rs
+++ b/crates/cluster-model/src/slow_start_budget.rs
@@ -1,40 +1,42 @@
-//! What a server that warms up bears, and the load that makes it collapse. The load is counted over all nodes.
+//! The load that a server withstands while it warms up, and the load that makes it collapse. The load of all nodes is
+//! added up.
 
 use std::collections::VecDeque;
 
 use crate::Micros;
 
-/// From this number of allowed requests on, the room for chance is that of a large budget.
+/// Number of allowed requests from which the margin for random variation is that of a large budget.
 const LARGE_BUDGET: f64 = 30.0;
 
-/// The number of requests above which a server collapses, given the number N that the settings allow:
-/// N + 2 sqrt(N) + 2, and N + 3 sqrt(N) + 3 where N is under 30. The rest is room for chance.
+/// Number of requests above which a server collapses, given the number N that the settings allow: N + 2 sqrt(N) + 2, or
+/// N + 3 sqrt(N) + 3 if N is under 30. The amount above N is a margin for random variation of the number of arrivals.
 pub fn collapse_limit(allowed: f64) -> f64 {
-    let room = if allowed < LARGE_BUDGET { 3.0 } else { 2.0 };
-    allowed + room * allowed.sqrt() + room
+    let margin_factor = if allowed < LARGE_BUDGET { 3.0 } else { 2.0 };
+    allowed + margin_factor * allowed.sqrt() + margin_factor
 }
 
-/// How a server collapsed while it was warming up.
+/// The collapse of a server while it was warming up.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Collapse {
-    /// When, in microseconds.
+    /// Time of the collapse, in microseconds.
     pub at: Micros,
-    /// Time since its start, in microseconds.
+    /// Time since the start of the server, in microseconds.
     pub age: Micros,
-    /// Load of the window as a multiple of the capacity.
+    /// Load within the window as a multiple of the capacity.
     pub multiple: f64,
-    /// Fraction of the load that came from senders who knew of the start.
+    /// Fraction of the load that came from senders who knew of the server's start.
     pub informed_share: f64,
 }
 
-/// How much more than its capacity a server bears while it warms up.
+/// The load above its capacity that a server withstands while it warms up.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowStartBudget {
-    /// It collapses when sent more than this multiple of its capacity (0: never)
+    /// Multiple of the capacity above which the load of any window makes the server collapse; 0 for never.
     pub multiple: f64,
-    /// within any window of this length, in microseconds,
+    /// Length of the window, in microseconds.
     pub window: Micros,
-    /// with room for chance, which is counted in requests of this work; 0 leaves no room.
+    /// Mean work of a request. It converts work to a number of requests, from which a margin for random variation is
+    /// computed. 0 disables the margin.
     pub mean_work: f64,
 }
 
@@ -54,12 +56,12 @@
         self.multiple > 0.0
     }
 
-    /// The work that the server can do in a window at this capacity.
+    /// Work that the server can do within a window at this capacity.
     fn possible_work(&self, capacity: f64) -> f64 {
         capacity * self.window as f64
     }
 
-    /// The work in a window above which it collapses.
+    /// Work within a window above which the server collapses.
     fn work_limit(&self, capacity: f64) -> f64 {
         let allowed = self.multiple * self.possible_work(capacity);
         if self.mean_work > 0.0 {
@@ -70,20 +72,20 @@
     }
 }
 
-/// The work that one arriving attempt asked for.
+/// The work that an arriving attempt requests.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct OfferedWork {
     pub(crate) at: Micros,
     pub(crate) work: f64,
-    /// Whether its sender knew of the server's start.
+    /// Whether the sender knew of the server's start.
     pub(crate) informed: bool,
 }
 
-/// The work offered to a server within the window that decides about a collapse.
+/// The work that was offered to a server within the window.
 #[derive(Debug, Default)]
 pub(crate) struct OfferedLoad {
     arrivals: VecDeque<OfferedWork>,
-    /// Sum of the work of all arrivals.
+    /// Total work of all arrivals.
     work: f64,
 }
 
@@ -93,7 +95,7 @@
         self.work = 0.0;
     }
 
-    /// Adds an arrival, and forgets those that have left the window.
+    /// Adds an arrival and removes the arrivals that have left the window.
     pub(crate) fn add(&mut self, arrival: OfferedWork, window: Micros) {
         self.arrivals.push_back(arrival);
         self.work += arrival.work;
@@ -105,7 +107,8 @@
         }
     }
 
-    /// The collapse under this load of a server that started at `started` and has a capacity now; `None` if it bears it.
+    /// Returns the collapse that this load causes in a server that started at `started` and now has this capacity, or
+    /// `None` if the server withstands the load.
     pub(crate) fn collapse(
         &self,
         budget: &SlowStartBudget,
--- a/crates/cluster-model/tests/endpoint_list.rs
+++ b/crates/cluster-model/tests/endpoint_list.rs
@@ -50,7 +50,7 @@
             complete: *complete,
             records: records.len(),
         },
-        ListResponse::Failed => panic!("failed"),
+        ListResponse::Failed => panic!("the call failed"),
     }
 }
 
@@ -62,22 +62,22 @@
     }
 }
 
-/// Calls as node 9, and returns the first response.
-fn ask(list: &mut EndpointList, now: Micros, call: ListCall) -> Summary {
+/// Makes a call as node 9 and returns the first response.
+fn call_as_node_9(list: &mut EndpointList, now: Micros, call: ListCall) -> Summary {
     assert_eq!(list.call(now, 9, call), None);
     let responses = list.process(now + 10 * MILLISECOND);
     summary(&responses[0].response)
 }
 
 #[test]
-fn a_watch_resumes_from_its_version_or_gets_the_complete_list_if_that_is_forgotten() {
+fn a_watch_resumes_from_its_version_or_gets_the_complete_list_if_the_history_is_too_short() {
     let config = EndpointListConfig {
         history: 2,
         ..EndpointListConfig::default()
     };
     let mut list = EndpointList::new(config, 1..=5);
     let watch = |after| ListCall::Watch { after };
-    assert_eq!(ask(&mut list, 0, watch(0)), complete(1, 5));
+    assert_eq!(call_as_node_9(&mut list, 0, watch(0)), complete(1, 5));
     let notifications = list.publish(SECOND, draining(3));
     assert_eq!(notifications.len(), 1);
     assert_eq!(notifications[0].node, 9);
@@ -89,28 +89,28 @@
     };
     assert!(list.publish(2 * SECOND, removed).is_empty());
     assert_eq!(
-        ask(&mut list, 3 * SECOND, watch(2)),
+        call_as_node_9(&mut list, 3 * SECOND, watch(2)),
         changes(3, 1),
-        "what changed since"
+        "the changes after version 2"
     );
     list.publish(4 * SECOND, draining(4));
     assert_eq!(
-        ask(&mut list, 5 * SECOND, watch(1)),
+        call_as_node_9(&mut list, 5 * SECOND, watch(1)),
         complete(4, 4),
-        "forgotten"
+        "version 1 is older than the history"
     );
     assert_eq!(
-        ask(&mut list, 6 * SECOND, watch(4)),
+        call_as_node_9(&mut list, 6 * SECOND, watch(4)),
         changes(4, 0),
-        "nothing new"
+        "no change after version 4"
     );
     assert_eq!(
-        ask(&mut list, 7 * SECOND, watch(99)),
+        call_as_node_9(&mut list, 7 * SECOND, watch(99)),
         complete(4, 4),
-        "from another incarnation of the service"
+        "the version comes from an earlier run of the service"
     );
     assert_eq!(
-        ask(&mut list, 8 * SECOND, ListCall::Complete),
+        call_as_node_9(&mut list, 8 * SECOND, ListCall::Complete),
         complete(4, 4)
     );
 }
--- a/crates/cluster-model/tests/invariants.rs
+++ b/crates/cluster-model/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Each invariant violated on purpose is reported, and what keeps it is not.
+//! Each deliberate violation of an invariant is reported, and behaviour at its limits is not.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_request_answered_late_or_never_is_lost_and_one_in_time_or_without_its_client_is_not() {
+fn a_request_answered_late_or_never_is_lost_unless_its_client_has_left() {
     let mut all = invariants();
     for id in 0..4 {
         all.accepted(request(3, id), SECOND, Idempotency::Idempotent);
@@ -58,19 +58,23 @@
     killed.accepted(REQUEST, SECOND, Idempotency::Idempotent);
     killed.killed(3);
     killed.finish(2 * SECOND);
-    assert_eq!(violations(&killed), [], "its client asks again");
+    assert_eq!(
+        violations(&killed),
+        [],
+        "the clients of a killed node retry"
+    );
 }
 
 #[test]
-fn a_paused_node_learns_which_clients_left_when_it_resumes_and_not_before() {
-    for (sent, kept) in [(2 * SECOND + 100_000, true), (2 * SECOND + 100_001, false)] {
+fn a_paused_node_learns_which_clients_left_only_when_it_resumes() {
+    for (sent, allowed) in [(2 * SECOND + 100_000, true), (2 * SECOND + 100_001, false)] {
         let mut all = invariants();
         all.accepted(REQUEST, SECOND, Idempotency::Idempotent);
         all.paused(SECOND / 2, 3);
         all.client_gone(SECOND, REQUEST);
         all.resumed(2 * SECOND, 3);
         all.sent(sent, REQUEST, 0, 7);
-        assert_eq!(violations(&all).is_empty(), kept, "sent at {sent}");
+        assert_eq!(violations(&all).is_empty(), allowed, "sent at {sent}");
     }
     let mut all = invariants();
     all.accepted(REQUEST, SECOND, Idempotency::Idempotent);
@@ -81,12 +85,12 @@
     assert_eq!(
         violations(&all),
         [ViolationKind::SentAfterEnd(REQUEST)],
-        "the client had left before"
+        "the client had left before the pause"
     );
 }
 
 #[test]
-fn a_paused_node_owes_its_answers_within_the_grace_after_it_resumes() {
+fn a_paused_node_must_answer_within_the_grace_after_it_resumes() {
     let answered_at = |resumed_at: u64, answered_at: u64| {
         let mut all = Invariants::default();
         all.accepted(REQUEST, SECOND, Idempotency::Idempotent);
@@ -97,35 +101,47 @@
     };
     assert_eq!(answered_at(3 * SECOND, 3_500_000), []);
     let lost = [ViolationKind::Lost(REQUEST)];
-    assert_eq!(answered_at(3 * SECOND, 3_500_001), lost, "nor is it freed");
-    assert_eq!(answered_at(600_000, 1_500_001), lost, "over in time");
+    assert_eq!(
+        answered_at(3 * SECOND, 3_500_001),
+        lost,
+        "the pause does not release the node"
+    );
+    assert_eq!(
+        answered_at(600_000, 1_500_001),
+        lost,
+        "the pause ended before the deadline"
+    );
     let mut all = Invariants::default();
     all.accepted(REQUEST, SECOND, Idempotency::Idempotent);
     all.paused(2 * SECOND, 3);
     all.resumed(3 * SECOND, 3);
     all.answered(3 * SECOND, REQUEST, true);
-    assert_eq!(violations(&all), lost, "it was overdue before the pause");
+    assert_eq!(
+        violations(&all),
+        lost,
+        "the answer was overdue before the pause"
+    );
 }
 
 #[test]
-fn an_answer_half_a_second_after_its_time_only_earns_nothing_and_a_later_one_is_lost() {
-    for (answered_at, kept) in [(1_500_000, true), (1_500_001, false)] {
+fn an_answer_up_to_half_a_second_after_the_deadline_is_no_violation_and_a_later_one_is_lost() {
+    for (answered_at, allowed) in [(1_500_000, true), (1_500_001, false)] {
         let mut all = Invariants::default();
         all.accepted(REQUEST, SECOND, Idempotency::Idempotent);
         all.answered(answered_at, REQUEST, false);
-        assert_eq!(violations(&all).is_empty(), kept, "at {answered_at}");
+        assert_eq!(violations(&all).is_empty(), allowed, "at {answered_at}");
     }
 }
 
 #[test]
-fn an_attempt_over_a_tenth_of_a_second_after_the_client_closed_is_reported() {
-    for (sent_at, kept) in [(400_000, true), (400_001, false)] {
+fn an_attempt_more_than_a_tenth_of_a_second_after_the_client_closed_is_reported() {
+    for (sent_at, allowed) in [(400_000, true), (400_001, false)] {
         let mut all = Invariants::default();
         all.accepted(REQUEST, SECOND, Idempotency::Idempotent);
         all.client_gone(300_000, REQUEST);
         all.answered(310_000, REQUEST, false);
         all.sent(sent_at, REQUEST, 0, 1);
-        assert_eq!(violations(&all).is_empty(), kept, "at {sent_at}");
+        assert_eq!(violations(&all).is_empty(), allowed, "at {sent_at}");
     }
     let mut all = Invariants::default();
     all.sent_after_forgetting(SECOND, REQUEST);
@@ -133,7 +149,7 @@
 }
 
 #[test]
-fn an_attempt_tells_its_server_at_most_what_is_left_and_some_slack() {
+fn an_attempt_tells_its_server_at_most_the_remaining_time_and_a_slack() {
     let mut all = Invariants::default();
     all.accepted(REQUEST, SECOND, Idempotency::Idempotent);
     all.told_deadline(0, REQUEST, SECOND);
@@ -144,7 +160,7 @@
     let excess = 150_001;
     assert_eq!(
         violations(&all),
-        [ViolationKind::ToldTooLong { request, excess }]
+        [ViolationKind::DeadlineOverstated { request, excess }]
     );
 }
 
@@ -160,18 +176,18 @@
     answered.accepted(REQUEST, SECOND, Idempotency::Idempotent);
     answered.answered(10, REQUEST, false);
     answered.aborted(20, REQUEST);
-    assert_eq!(violations(&answered), [], "what it answered is not lost");
+    assert_eq!(violations(&answered), [], "an answered request is not lost");
 }
 
 #[test]
-fn an_attempt_sent_after_the_end_is_reported() {
+fn an_attempt_sent_after_the_end_of_its_request_is_reported() {
     let mut all = invariants();
     all.accepted(REQUEST, SECOND, Idempotency::Idempotent);
     all.sent(10, REQUEST, 0, 1);
     all.answered(20, REQUEST, false);
     all.sent(30, REQUEST, 1, 2);
     assert_eq!(violations(&all), [ViolationKind::SentAfterEnd(REQUEST)]);
-    // What was in flight is tolerated for the stated time, and still counts for what must not run twice.
+    // An attempt in flight is tolerated for `sent_grace`, and still counts as one that may have run.
     let mut all = Invariants::new(InvariantLimits {
         sent_grace: 50,
         ..InvariantLimits::default()
@@ -180,21 +196,24 @@
     all.sent(10, REQUEST, 0, 1);
     all.answered(20, REQUEST, false);
     all.sent(69, REQUEST, 1, 2);
-    assert_eq!(violations(&all), [ViolationKind::RanTwice(REQUEST)]);
+    assert_eq!(
+        violations(&all),
+        [ViolationKind::PossibleDuplicate(REQUEST)]
+    );
     all.never_ran(REQUEST, 0);
     all.never_ran(REQUEST, 1);
     all.sent(70, REQUEST, 2, 2);
     assert_eq!(
         violations(&all),
         [
-            ViolationKind::RanTwice(REQUEST),
+            ViolationKind::PossibleDuplicate(REQUEST),
             ViolationKind::SentAfterEnd(REQUEST)
         ]
     );
 }
 
 #[test]
-fn a_request_that_is_not_idempotent_is_retried_only_if_no_attempt_ran() {
+fn a_request_that_is_not_idempotent_may_be_retried_only_if_no_attempt_ran() {
     let mut all = invariants();
     all.accepted(REQUEST, SECOND, Idempotency::NotIdempotent);
     all.sent(10, REQUEST, 0, 1);
@@ -206,14 +225,14 @@
     assert_eq!(
         violations(&all),
         [
-            ViolationKind::RanTwice(REQUEST),
-            ViolationKind::RejectedThoughRun(REQUEST)
+            ViolationKind::PossibleDuplicate(REQUEST),
+            ViolationKind::FalseRejection(REQUEST)
         ]
     );
 }
 
 #[test]
-fn a_request_with_an_idempotency_key_is_retried_within_its_window_only_and_may_be_rejected() {
+fn a_request_with_an_idempotency_key_may_be_retried_only_within_its_window_and_may_be_rejected() {
     let mut all = invariants();
     let window = 2 * SECOND;
     all.accepted(REQUEST, 9 * SECOND, Idempotency::Deduplicated { window });
@@ -222,11 +241,14 @@
     assert_eq!(violations(&all), []);
     all.sent(2 * SECOND + 1, REQUEST, 2, 1);
     all.answered(3 * SECOND, REQUEST, true);
-    assert_eq!(violations(&all), [ViolationKind::RanTwice(REQUEST)]);
+    assert_eq!(
+        violations(&all),
+        [ViolationKind::PossibleDuplicate(REQUEST)]
+    );
 }
 
 #[test]
-fn attempts_at_a_draining_server_count_from_the_notice_or_six_seconds_after_it_was_known() {
+fn the_drain_grace_counts_from_the_notice_or_from_six_seconds_after_discovery_knew_of_the_drain() {
     let other = request(4, 1);
     let mut all = invariants();
     all.readiness_known(SECOND, 8, false);
@@ -236,7 +258,7 @@
     assert_eq!(violations(&all), []);
     all.sent(2 * SECOND + 550_001, REQUEST, 1, 8);
     all.sent(7 * SECOND + 600_000, other, 1, 8);
-    let drained = |node, after| ViolationKind::SentToDrained {
+    let drained = |node, after| ViolationKind::SentAfterDrainNotice {
         node,
         server: 8,
         after,
@@ -246,11 +268,11 @@
     all.notified(8 * SECOND, 3, 8, true);
     all.sent(9 * SECOND, REQUEST, 2, 8);
     all.sent(20 * SECOND, other, 2, 8);
-    assert_eq!(all.violations().len(), 2, "it is back");
+    assert_eq!(all.violations().len(), 2, "the server is ready again");
 }
 
 #[test]
-fn a_change_counts_as_notified_six_seconds_after_discovery_knew_of_it_and_could_be_reached() {
+fn a_change_counts_as_notified_six_seconds_after_discovery_knew_of_it_and_was_reachable() {
     let sent_at = |now| {
         let mut all = Invariants::default();
         all.readiness_known(SECOND, 7, false);
@@ -273,7 +295,8 @@
 }
 
 #[test]
-fn a_collapse_is_a_violation_if_over_two_thirds_of_the_load_came_from_senders_who_knew() {
+fn a_collapse_is_a_violation_if_over_two_thirds_of_the_load_came_from_senders_who_knew_of_the_start()
+ {
     let collapse = |informed_share| Collapse {
         at: 5 * SECOND,
         age: SECOND,
--- a/crates/cluster-model/tests/machine.rs
+++ b/crates/cluster-model/tests/machine.rs
@@ -51,7 +51,7 @@
     assert_eq!(
         accepted,
         [true, true, true, true, true, false],
-        "four slots, one place in the queue"
+        "four slots and a queue of one"
     );
     assert_eq!(machine.job_count(), 5);
     assert_eq!(machine.queue_length(), 1);
@@ -61,16 +61,16 @@
         completed[..4]
             .iter()
             .all(|completed| completed.at.abs_diff(2_000) <= 2),
-        "four share two cores: {completed:?}"
+        "four jobs share two cores: {completed:?}"
     );
     assert!(
         completed[4].job == 4 && completed[4].at.abs_diff(3_000) <= 3,
-        "the fifth has a core of its own: {completed:?}"
+        "the fifth job has a core to itself: {completed:?}"
     );
 }
 
 #[test]
-fn arrivals_and_completions_change_when_other_jobs_are_completed() {
+fn arrivals_and_completions_change_the_completion_times_of_other_jobs() {
     let mut shared = machine(one_core());
     shared.submit(0, 1, 1_000.0);
     shared.submit(500, 2, 250.0);
@@ -93,19 +93,19 @@
     }
     assert!(
         run(&mut congested)[0].at.abs_diff(600) <= 2,
-        "three at half efficiency"
+        "three jobs at half efficiency"
     );
     let mut stolen = machine(one_core());
     stolen.set_stolen_share(0, 0.75);
     stolen.submit(0, 1, 100.0);
     assert!(
         run(&mut stolen)[0].at.abs_diff(400) <= 2,
-        "a neighbour left a quarter"
+        "a quarter of the capacity is left"
     );
 }
 
 #[test]
-fn a_cold_machine_warms_up_by_time_and_sooner_by_work() {
+fn a_cold_machine_warms_up_over_time_and_faster_under_load() {
     let config = MachineConfig {
         cold_share: 0.2,
         warm_up: 10 * SECOND,
@@ -146,9 +146,9 @@
         for job in 0..3 {
             assert!(machine.submit(0, job, 100.0));
         }
-        assert!(!machine.cancel(10, 0), "in a slot");
-        assert_eq!(machine.cancel(10, 1), drops_cancelled, "in the queue");
-        let left = if drops_cancelled { 2 } else { 3 };
-        assert_eq!(run(&mut machine).len(), left);
+        assert!(!machine.cancel(10, 0), "job 0 is running");
+        assert_eq!(machine.cancel(10, 1), drops_cancelled, "job 1 is queued");
+        let remaining = if drops_cancelled { 2 } else { 3 };
+        assert_eq!(run(&mut machine).len(), remaining);
     }
 }
--- a/crates/cluster-model/tests/origin.rs
+++ b/crates/cluster-model/tests/origin.rs
@@ -1,4 +1,4 @@
-//! The origin: faults, rejections, and the collapse under lasting saturation.
+//! The origin: faults, rejections, and the collapse under sustained saturation.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn calls_fail_late_or_early_and_the_origin_completes_those_whose_callers_have_gone() {
+fn calls_fail_after_processing_or_on_arrival_and_accepted_calls_are_completed() {
     let machine = MachineConfig {
         cores: 2.0,
         slots: 2,
@@ -55,7 +55,8 @@
 }
 
 #[test]
-fn an_origin_that_stays_saturated_collapses_and_recovers_and_a_pause_is_relief() {
+fn an_origin_that_stays_saturated_collapses_and_recovers_and_a_time_without_rejections_ends_saturation()
+ {
     let machine = MachineConfig {
         cores: 1.0,
         slots: 1,
@@ -73,7 +74,7 @@
     let mut submit =
         |origin: &mut Origin, at, job| origin.submit(at, job, 10_000_000.0, &mut random);
     assert_eq!(submit(&mut origin, 0, 1), Admission::Accepted);
-    // It rejects calls from 0.1 to 0.9 s, then none for 0.3 s: the count begins anew.
+    // It rejects calls from 0.1 to 0.9 s and none in the next 0.3 s, which ends the first period of saturation.
     for tenth in (1..=9).chain(12..=21) {
         let at = tenth * 100 * MILLISECOND;
         assert_eq!(submit(&mut origin, at, 10 + tenth), UNPROCESSED);
--- a/crates/cluster-model/tests/server.rs
+++ b/crates/cluster-model/tests/server.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_server_answers_hits_and_misses_and_rejects_what_exceeds_its_queue_or_comes_while_it_drains() {
+fn a_server_answers_hits_and_misses_and_rejects_attempts_over_its_queue_or_while_draining() {
     let machine = MachineConfig {
         cores: 1.0,
         slots: 1,
@@ -62,8 +62,9 @@
     assert!(server.memory().is_empty());
 }
 
-/// Sends attempts of 10 ms at a steady rate to a server with one core that is warm after 20 s, until it collapses or is
-/// warm. `informed` says which senders know of its start.
+/// Sends attempts of 10 ms of work at a constant rate to a server with one core that is warm after 20 s, until the
+/// server collapses or 25 s have passed. `informed` returns whether the sender of an attempt knows of the server's
+/// start.
 fn load_cold_server(
     per_second: u64,
     mean_work: f64,
@@ -100,8 +101,8 @@
 }
 
 #[test]
-fn a_cold_server_collapses_above_its_multiple_over_the_window_and_tells_how_many_knew() {
-    // At its start it can do 20 attempts a second, so that it bears 100 in any two seconds.
+fn a_cold_server_collapses_above_its_multiple_over_the_window_and_reports_the_informed_share() {
+    // At its start the server can process 20 attempts per second, so it withstands 100 in any two seconds.
     assert_eq!(load_cold_server(49, 0.0, |_| true).collapse(), None);
     let server = load_cold_server(80, 0.0, |job| job % 4 != 0);
     let collapse = server.collapse().expect("collapses");
@@ -114,7 +115,8 @@
         (collapse.informed_share - 0.75).abs() < 0.02,
         "{collapse:?}"
     );
-    // After two seconds it can do 28 a second, and bears 140 + 2 * 11.8 + 2 in them with room for chance.
+    // After two seconds the server can process 28 attempts per second. With the margin for random variation it
+    // withstands 140 + 2 * 11.8 + 2 attempts within two seconds.
     assert_eq!(load_cold_server(80, 10_000.0, |_| true).collapse(), None);
     assert!(
         load_cold_server(95, 10_000.0, |_| true)
@@ -122,12 +124,15 @@
             .is_some()
     );
     let collapsed = load_cold_server(80, 0.0, |_| true);
-    assert!(!collapsed.is_running(), "down for good");
-    assert!(collapsed.next_event_at().is_none(), "down for good");
+    assert!(!collapsed.is_running(), "it does not restart by itself");
+    assert!(
+        collapsed.next_event_at().is_none(),
+        "it does not restart by itself"
+    );
 }
 
 #[test]
-fn the_room_for_chance_is_two_roots_and_three_for_a_budget_under_thirty() {
+fn the_margin_for_random_variation_is_two_roots_or_three_for_a_budget_under_thirty() {
     assert_eq!(collapse_limit(100.0), 122.0);
     assert_eq!(collapse_limit(30.0), 30.0 + 2.0 * 30.0_f64.sqrt() + 2.0);
     assert_eq!(collapse_limit(25.0), 43.0);
