--- a/crates/router-config/src/environment.rs
+++ b/crates/router-config/src/environment.rs
@@ -1,11 +1,11 @@
-//! The environment variables that set configuration keys, under their current and their deprecated prefix.
+//! Environment variables that set configuration keys, with the current and the deprecated prefix.
 
 /// Prefix of the variables that set a key: `CACHE_ROUTER_LOG__LEVEL` sets `log.level`.
 const PREFIX: &str = "CACHE_ROUTER_";
-/// The prefix of earlier releases. It is still read, so that a deployment can be upgraded before its variables are
-/// renamed.
+/// Prefix of earlier releases. Variables with it are still read, so that a deployment can be upgraded before its
+/// variables are renamed.
 const DEPRECATED_PREFIX: &str = "SPARDEAL_";
-/// What follows the prefix in the variable that names the configuration file; it sets no key.
+/// Suffix of the variable that names the configuration file. This variable sets no key.
 const FILE_SUFFIX: &str = "CONFIG";
 
 /// Which of the two prefixes a variable has.
@@ -16,8 +16,8 @@
 }
 
 impl Prefix {
-    /// The later overrides the earlier where both set the same key.
-    const IN_ORDER_OF_PRECEDENCE: [Prefix; 2] = [Prefix::Deprecated, Prefix::Current];
+    /// If both prefixes set the same key, the later one takes precedence.
+    const LOWEST_PRECEDENCE_FIRST: [Prefix; 2] = [Prefix::Deprecated, Prefix::Current];
 
     fn text(self) -> &'static str {
         match self {
@@ -31,11 +31,11 @@
 #[derive(Debug, Clone)]
 pub(crate) struct KeyVariable {
     prefix: Prefix,
-    /// The name as the operator wrote it.
+    /// The full name, as it was set.
     pub(crate) name: String,
-    /// The key that it sets, with dots.
+    /// The dotted key that the variable sets.
     pub(crate) key: String,
-    /// The value as the operator wrote it.
+    /// The value, as it was set.
     pub(crate) value: String,
 }
 
@@ -46,7 +46,7 @@
     path: String,
 }
 
-/// The variables of an environment that belong to the configuration.
+/// The environment variables that belong to the configuration.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Environment {
     key_variables: Vec<KeyVariable>,
@@ -54,10 +54,13 @@
 }
 
 impl Environment {
-    /// Takes a variable if it belongs to the configuration, and ignores it otherwise.
+    /// Adds a variable if it belongs to the configuration, and ignores it otherwise.
     pub(crate) fn add(&mut self, name: String, value: String) {
         let with_prefix = |prefix: &Prefix| name.starts_with(prefix.text());
-        let Some(prefix) = Prefix::IN_ORDER_OF_PRECEDENCE.into_iter().find(with_prefix) else {
+        let Some(prefix) = Prefix::LOWEST_PRECEDENCE_FIRST
+            .into_iter()
+            .find(with_prefix)
+        else {
             return;
         };
         let suffix = &name[prefix.text().len()..];
@@ -77,13 +80,13 @@
         });
     }
 
-    /// The variables that set keys, each to override those before it.
+    /// The variables that set keys. Each variable overrides the previous ones.
     pub(crate) fn key_variables(&self) -> impl DoubleEndedIterator<Item = &KeyVariable> {
         let with_prefix = |prefix| {
             let variables = self.key_variables.iter();
             variables.filter(move |variable| variable.prefix == prefix)
         };
-        Prefix::IN_ORDER_OF_PRECEDENCE
+        Prefix::LOWEST_PRECEDENCE_FIRST
             .into_iter()
             .flat_map(with_prefix)
     }
@@ -95,20 +98,20 @@
             .find(|variable| variable.key == key)
     }
 
-    /// The configuration file that the environment names, if it names one. A variable set to nothing names none.
+    /// The configuration file that the environment names, if any. An empty variable names no file.
     pub(crate) fn file(&self) -> Option<&str> {
         let with_prefix = |prefix| {
             let mut variables = self.file_variables.iter().rev();
             variables.find(|variable| variable.prefix == prefix)
         };
-        let variable = Prefix::IN_ORDER_OF_PRECEDENCE
+        let variable = Prefix::LOWEST_PRECEDENCE_FIRST
             .into_iter()
             .rev()
             .find_map(with_prefix)?;
         Some(variable.path.as_str()).filter(|path| !path.is_empty())
     }
 
-    /// The variables under the deprecated prefix.
+    /// The variables with the deprecated prefix.
     pub(crate) fn deprecated(&self) -> DeprecatedVariables {
         let key_variables = self.key_variables.iter();
         let deprecated_keys =
@@ -121,18 +124,18 @@
             DeprecatedVariable::with_suffix(&variable.name[DEPRECATED_PREFIX.len()..])
         });
         let mut variables: Vec<DeprecatedVariable> = file.into_iter().chain(keys).collect();
-        // The order of an environment means nothing: the warning reads the same on each start.
+        // The order of environment variables is arbitrary. Sorting makes the warning the same on each start.
         variables.sort();
         DeprecatedVariables { variables }
     }
 }
 
-/// An environment variable that was set under the deprecated prefix.
+/// An environment variable that was set with the deprecated prefix.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DeprecatedVariable {
-    /// The name as the operator wrote it.
+    /// The full name, as it was set.
     pub name: String,
-    /// The name to use in its place.
+    /// The name to use instead.
     pub replacement: String,
 }
 
@@ -145,19 +148,19 @@
     }
 }
 
-/// All environment variables that were set under the deprecated prefix, for one warning about all of them.
+/// All environment variables that were set with the deprecated prefix. One warning lists all of them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct DeprecatedVariables {
     variables: Vec<DeprecatedVariable>,
 }
 
 impl DeprecatedVariables {
-    /// The variables, by name.
+    /// The variables, sorted by name.
     pub fn variables(&self) -> &[DeprecatedVariable] {
         &self.variables
     }
 
-    /// One line that names each variable and its replacement, or `None` where no deprecated variable is set.
+    /// A one-line warning with each variable and its replacement, or `None` if no deprecated variable is set.
     pub fn warning(&self) -> Option<String> {
         if self.variables.is_empty() {
             return None;
@@ -173,7 +176,7 @@
         ))
     }
 
-    /// Logs one warning, if a deprecated variable is set. [`crate::logging::init`] does this by itself.
+    /// Logs one warning if a deprecated variable is set. [`crate::logging::init`] calls this.
     pub fn log_warning(&self) {
         if self.variables.is_empty() {
             return;
--- a/crates/router-config/src/error.rs
+++ b/crates/router-config/src/error.rs
@@ -1,25 +1,25 @@
-//! Why a configuration is rejected, and where the offending value stands.
+//! Errors for rejected configurations, with the source of the invalid value.
 
 use std::fmt::{self, Display, Formatter};
 use std::path::PathBuf;
 
 use crate::toml_position::Position;
 
-/// Where a value comes from.
+/// The source of a value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ValueSource {
     /// A configuration file.
     File {
         /// Path of the file.
         path: PathBuf,
-        /// Where in the file, if that is known.
+        /// Position in the file, if known.
         position: Option<Position>,
     },
-    /// An environment variable, by the name that the operator wrote.
+    /// An environment variable, by its full name.
     Variable(String),
-    /// A command line flag, by the key that it sets.
+    /// A command-line flag, by the key that it sets.
     Flag(String),
-    /// The built-in defaults: a bug in the program itself.
+    /// The built-in defaults. An invalid default is a bug in the program.
     Defaults,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// Why a configuration is rejected. No part of a rejected configuration is used.
+/// The reason why a configuration is rejected. No part of a rejected configuration is used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file cannot be read.
@@ -52,35 +52,35 @@
         /// The operating system's error.
         source: std::io::Error,
     },
-    /// The file's bytes cannot be a configuration.
+    /// The file is too long or is not UTF-8 text.
     #[error("{}: {reason}", path.display())]
     NotText {
         /// Path of the file.
         path: PathBuf,
-        /// What the file is instead.
+        /// Why the file is rejected.
         reason: &'static str,
     },
     /// A value, a key or the TOML syntax is invalid.
     #[error("{value_source}: {message}")]
     Invalid {
-        /// Where the offending text stands.
+        /// Source of the invalid value.
         value_source: ValueSource,
-        /// What was found, and what would be accepted.
+        /// What was found and what is accepted.
         message: String,
     },
 }
 
-/// A value of the right type that is still not acceptable.
+/// A value that has the right type but is not acceptable.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InvalidValue {
-    /// The key, with dots.
+    /// The dotted key.
     pub key: String,
-    /// What was found, and what would be accepted.
+    /// What was found and what is accepted.
     pub message: String,
 }
 
 impl From<(String, String)> for InvalidValue {
-    /// From a key and a message.
+    /// Converts a pair of a key and a message.
     fn from((key, message): (String, String)) -> InvalidValue {
         InvalidValue { key, message }
     }
--- a/crates/router-config/src/layers.rs
+++ b/crates/router-config/src/layers.rs
@@ -1,5 +1,5 @@
-//! The layers of a configuration: defaults, file, environment, flags, each of which overrides those before it. An
-//! error says in which layer the value stands, for a file in which line, and what would be accepted.
+//! The layers of a configuration: defaults, file, environment variables and flags. Each layer overrides the previous
+//! ones. An error states the layer that sets the value, the line if that layer is a file, and the accepted values.
 
 use std::path::{Path, PathBuf};
 
@@ -14,11 +14,11 @@
 use crate::schema::Config;
 use crate::toml_file::{self, TomlFile};
 
-/// How alike a known key or value must be to one that was written to be suggested, from 0 to 1 (Jaro similarity).
+/// Minimum Jaro similarity, from 0 to 1, at which a known key or value is suggested in place of an unknown one.
 const SUGGESTION_SIMILARITY: f64 = 0.7;
-/// What a layer of one environment variable is called, before the variable's name.
+/// Prefix of the name of a layer that holds one environment variable. The variable's name follows.
 const VARIABLE_LAYER: &str = "variable ";
-/// What a layer of one flag is called, before the flag's key.
+/// Prefix of the name of a layer that holds one flag. The flag's key follows.
 const FLAG_LAYER: &str = "--set ";
 
 /// A command line flag that sets a key.
@@ -37,10 +37,10 @@
 }
 
 impl Layers {
-    /// The layers that this process was started with: the file that `CACHE_ROUTER_CONFIG` names, if any, and the
-    /// variables beside it.
+    /// Creates the layers of this process: the file that `CACHE_ROUTER_CONFIG` names, if any, and the other variables
+    /// of the environment.
     pub fn from_env() -> Layers {
-        // A name that is not Unicode cannot be one of ours.
+        // The names of all configuration variables are Unicode, so other names are ignored.
         Layers::default().variables(std::env::vars_os().filter_map(|(name, value)| {
             Some((
                 name.into_string().ok()?,
@@ -49,7 +49,7 @@
         }))
     }
 
-    /// Adds the variables of an environment, by name and value. Those that do not belong to the configuration are
+    /// Adds environment variables, given by name and value. Variables that do not belong to the configuration are
     /// ignored.
     pub fn variables(mut self, all: impl IntoIterator<Item = (String, String)>) -> Layers {
         for (name, value) in all {
@@ -61,13 +61,13 @@
         self
     }
 
-    /// Sets the file, in place of one that a variable names.
+    /// Sets the file. It replaces a file that a variable names.
     pub fn file(mut self, path: impl Into<PathBuf>) -> Layers {
         self.file = Some(path.into());
         self
     }
 
-    /// Adds a flag: a key with dots, and its value as it would stand in the file, or a text without quotes.
+    /// Adds a flag: a dotted key, and its value in TOML syntax or as a string without quotes.
     pub fn flag(mut self, key: &str, value: &str) -> Layers {
         self.flags.push(Flag {
             key: key.into(),
@@ -76,10 +76,10 @@
         self
     }
 
-    /// Reads all layers.
+    /// Reads and merges all layers.
     ///
     /// # Errors
-    /// Where the file cannot be read or any layer holds what the schema does not allow.
+    /// If the file cannot be read, or if a layer has a key or a value that the schema does not allow.
     pub fn read(&self) -> Result<Config, ConfigError> {
         let defaults = Figment::from(Serialized::defaults(Config::default()));
         let loaded = self.load(Vec::new())?;
@@ -88,7 +88,7 @@
         Ok(config)
     }
 
-    /// Reads the file, if there is one.
+    /// Reads the file, if one is set, and checks its syntax.
     fn load(&self, bases: Vec<TomlFile>) -> Result<LoadedLayers<'_>, ConfigError> {
         let file = self.file.as_deref().map(TomlFile::read).transpose()?;
         if let Some(file) = &file {
@@ -103,13 +103,16 @@
     }
 }
 
-/// Reads a file of the caller's own schema, with the same errors, and without the environment. A file may name
-/// another that it is based on by the key `base`, a path beside it: what it does not set is taken from there. `set`
-/// holds keys with dots and values that override the file's. `first_invalid_value` returns the first value that has
-/// the right type and is still not acceptable: its key with dots, and what would be accepted.
+/// Reads a file with a schema of the caller. Errors have the same form as those of [`Layers::read`]. Environment
+/// variables are not read.
+///
+/// The key `base` of a file may name another file, by a path relative to the file's own folder. Keys that the file does
+/// not set are taken from its base. `set` holds dotted keys and values that override those of the file.
+/// `first_invalid_value` returns the first value that has the right type but is not acceptable: its dotted key, and the
+/// accepted values.
 ///
 /// # Errors
-/// Where a file cannot be read, is based on itself, or holds what the schema does not allow.
+/// If a file cannot be read, is based on itself, or has a key or a value that the schema does not allow.
 pub fn read_toml<T, I>(
     path: &Path,
     set: &[(String, String)],
@@ -134,21 +137,23 @@
 /// Layers whose files have been read.
 struct LoadedLayers<'a> {
     file: Option<TomlFile>,
-    /// The files that the file is based on, the nearest first.
+    /// The direct base of the file, then the base of that base, and so on.
     bases: Vec<TomlFile>,
     environment: &'a Environment,
     flags: &'a [Flag],
 }
 
 impl LoadedLayers<'_> {
-    /// Merges all layers over some defaults into a schema, and rejects the first value that is not acceptable.
+    /// Merges all layers over the defaults, converts the result to a schema, and rejects the first unacceptable value.
     fn extract<T: DeserializeOwned>(
         &self,
         defaults: Figment,
         first_invalid_value: impl Fn(&T) -> Option<InvalidValue>,
     ) -> Result<T, ConfigError> {
         let merged = self.merge(defaults);
-        let found: T = merged.extract().map_err(|error| self.rejected(&error))?;
+        let found: T = merged
+            .extract()
+            .map_err(|error| self.schema_error(&error))?;
         let Some(invalid) = first_invalid_value(&found) else {
             return Ok(found);
         };
@@ -184,8 +189,8 @@
         merged
     }
 
-    /// The error for a value that the schema does not take.
-    fn rejected(&self, error: &figment::Error) -> ConfigError {
+    /// The error for a key or a value that the schema does not allow.
+    fn schema_error(&self, error: &figment::Error) -> ConfigError {
         let mut path = error.path.clone();
         let problem = match &error.kind {
             Kind::UnknownField(name, known) => {
@@ -197,8 +202,8 @@
             Kind::UnknownVariant(name, known) => {
                 format!("found {name:?}{}", alternatives(name, known))
             }
-            Kind::InvalidType(actual, wanted) | Kind::InvalidValue(actual, wanted) => {
-                format!("found {actual}: write {wanted}")
+            Kind::InvalidType(actual, expected) | Kind::InvalidValue(actual, expected) => {
+                format!("found {actual}: write {expected}")
             }
             other => other.to_string(),
         };
@@ -212,14 +217,14 @@
         }
     }
 
-    /// Where a key is set, given the name of the layer that holds it as far as it is known.
+    /// Returns where a key is set, given the name of the layer that sets it if that is known.
     fn source_of(&self, layer: Option<String>, path: &[String]) -> ValueSource {
         let key = path.join(".");
         let layer = layer.unwrap_or_default();
         if let Some(name) = layer.strip_prefix(VARIABLE_LAYER) {
             return ValueSource::Variable(name.into());
         }
-        // An unknown key comes without a layer: it is the last layer that holds it.
+        // The error for an unknown key names no layer, so the last layer that sets the key is reported.
         if layer.starts_with(FLAG_LAYER) || self.flags.iter().any(|flag| flag.key == key) {
             return ValueSource::Flag(key);
         }
@@ -234,15 +239,15 @@
     }
 }
 
-/// The names that would be accepted in place of one that was not, with the likeliest.
+/// Describes the accepted names in place of an unknown one, and suggests the most similar.
 fn alternatives(name: &str, known: &[&str]) -> String {
     let similarity = |known: &&&str| (strsim::jaro(name, known) * 1e6) as u64;
     let suggestion = known
         .iter()
         .max_by_key(similarity)
-        .filter(|nearest| strsim::jaro(name, nearest) > SUGGESTION_SIMILARITY)
-        .map_or(String::new(), |nearest| {
-            format!("; did you mean {nearest:?}?")
+        .filter(|most_similar| strsim::jaro(name, most_similar) > SUGGESTION_SIMILARITY)
+        .map_or(String::new(), |most_similar| {
+            format!("; did you mean {most_similar:?}?")
         });
     format!("; there are {}{suggestion}", known.join(", "))
 }
@@ -260,7 +265,10 @@
     }
 
     fn data(&self) -> Result<Map<Profile, Dict>, figment::Error> {
-        let parsed: Value = self.value.parse().unwrap_or_else(|never| match never {});
+        let parsed: Value = self
+            .value
+            .parse()
+            .unwrap_or_else(|infallible| match infallible {});
         let nested = figment::util::nest(self.key, parsed);
         Ok(Map::from([(
             Profile::Default,
--- a/crates/router-config/src/lib.rs
+++ b/crates/router-config/src/lib.rs
@@ -1,8 +1,8 @@
-//! The configuration of all programs: one schema ([`Config`]), read in layers ([`Layers`]: file, environment, flags),
-//! and the logging that it sets up ([`logging`]). `docs/CONFIG.md` is its page.
+//! The configuration of all programs: one schema ([`Config`]), read in layers ([`Layers`]: file, environment variables
+//! and flags), and the logging that it configures ([`logging`]). `docs/CONFIG.md` documents the keys.
 //!
-//! Addresses, settings and seeds come from the platform, in a file of its own; this crate covers what an operator
-//! chooses beside it.
+//! This crate covers the options that an operator sets. Addresses, routing settings and seeds are set by the deployment
+//! platform in a separate file.
 
 mod environment;
 mod error;
--- a/crates/router-config/src/logging/line_queue.rs
+++ b/crates/router-config/src/logging/line_queue.rs
@@ -1,8 +1,9 @@
-//! A bounded queue of lines between the program and its log. A thread writes them, so that a log that blocks, such as a
-//! full pipe that nobody reads, holds up that thread only.
+//! A bounded queue of lines between the program and its log. A separate thread writes the lines, so that a blocked log,
+//! such as a full pipe that is not read, blocks only that thread.
 //!
-//! A line that finds the queue full or cannot be written (the reader is gone, the disk is full) is dropped. How many
-//! were dropped is written once the log has caught up.
+//! A line is dropped if the queue is full or if writing it fails, for example because the reader has exited or the disk
+//! is full. The number of dropped lines is written to the log once all queued lines have been processed and the log
+//! accepts lines again.
 
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, Write};
@@ -15,28 +16,28 @@
 use super::notice::Notice;
 use crate::schema::Format;
 
-/// The most bytes that wait to be written: several thousand lines.
-const MAX_WAITING_BYTES: usize = 1024 * 1024;
-/// How long a log that can take nothing now, and is not to block, is left alone.
+/// Maximum number of bytes in the queue. This is several thousand lines.
+const MAX_QUEUED_BYTES: usize = 1024 * 1024;
+/// Pause before the next write to a non-blocking log that would have blocked.
 const WOULD_BLOCK_PAUSE: Duration = Duration::from_millis(20);
-/// How long the end of a program waits for the lines that are not written yet.
+/// Maximum time for which [`LineQueue::flush`] waits for the queued lines to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The log of this process: standard error.
+/// The queue of the log of this process, which is standard error.
 pub fn standard_error() -> &'static LineQueue {
     static STANDARD_ERROR: OnceLock<LineQueue> = OnceLock::new();
     STANDARD_ERROR.get_or_init(|| LineQueue::new(io::stderr()))
 }
 
-/// A queue of lines for one log. A clone is the same queue.
+/// A queue of lines for one log. All clones share the queue.
 #[derive(Clone)]
 pub struct LineQueue {
     shared: Arc<Shared>,
 }
 
-/// What the queue and its thread share.
+/// State that the queue shares with the writing thread.
 struct Shared {
-    /// The thread has it locked for as long as it runs.
+    /// The log. The writing thread holds this lock as long as it runs.
     log: Mutex<Box<dyn Write + Send>>,
     state: Mutex<State>,
     line_added: Condvar,
@@ -45,26 +46,27 @@
 
 #[derive(Default)]
 struct State {
-    thread_runs: bool,
-    waiting: VecDeque<Vec<u8>>,
-    /// The size of all lines in `waiting`.
-    waiting_bytes: usize,
+    thread_running: bool,
+    queued: VecDeque<Vec<u8>>,
+    /// Total size of the lines in `queued`.
+    queued_bytes: usize,
     is_writing: bool,
-    /// How many lines were dropped since that was last reported.
+    /// Number of lines that were dropped since the last report.
     dropped: u64,
-    /// The format in which it is reported.
+    /// Format of the reports.
     format: Format,
 }
 
-/// What the thread writes next.
+/// The next line that the thread writes.
 struct NextLine {
     bytes: Vec<u8>,
-    /// How many lines are lost if it cannot be written: a report stands for all those that it counts.
-    stands_for: u64,
+    /// Number of lines that count as dropped if this line cannot be written. For a report, this is the number of lines
+    /// that it reports.
+    line_count: u64,
 }
 
 impl LineQueue {
-    /// An empty queue for a log. Its thread starts with the first line.
+    /// Creates an empty queue for a log. The first line starts the writing thread.
     pub fn new(log: impl Write + Send + 'static) -> LineQueue {
         LineQueue {
             shared: Arc::new(Shared {
@@ -81,46 +83,47 @@
         lock(&self.shared.state).format = format;
     }
 
-    /// Adds a line, which includes its line feed, or drops it if too much waits already. It never waits for the log.
+    /// Adds a line, which must include its line feed, or drops it if the queue is full. Never waits for the log.
     pub fn push(&self, line: Vec<u8>) {
         let mut state = lock(&self.shared.state);
-        if state.waiting_bytes + line.len() > MAX_WAITING_BYTES {
+        if state.queued_bytes + line.len() > MAX_QUEUED_BYTES {
             state.dropped += 1;
             return;
         }
-        state.waiting_bytes += line.len();
-        state.waiting.push_back(line);
+        state.queued_bytes += line.len();
+        state.queued.push_back(line);
         self.start_thread(&mut state);
         drop(state);
         self.shared.line_added.notify_one();
     }
 
-    /// Waits until all lines are written, but not for long; whether they are.
+    /// Waits until all lines are written, but no longer than `FLUSH_TIMEOUT`. Returns whether all lines are written.
     pub fn flush(&self) -> bool {
-        let end = Instant::now() + FLUSH_TIMEOUT;
+        let deadline = Instant::now() + FLUSH_TIMEOUT;
         let mut state = lock(&self.shared.state);
-        while state.is_writing || !state.waiting.is_empty() {
-            let left = end.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+        while state.is_writing || !state.queued.is_empty() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return false;
             }
             self.start_thread(&mut state);
-            let waited = self.shared.all_written.wait_timeout(state, left);
+            let waited = self.shared.all_written.wait_timeout(state, remaining);
             state = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
         true
     }
 
-    /// Starts the thread unless it runs. If the system has none to give, the lines wait for the next try.
+    /// Starts the writing thread unless it is running. If the system cannot create a thread, the lines stay queued
+    /// until the next call.
     fn start_thread(&self, state: &mut State) {
-        if state.thread_runs {
+        if state.thread_running {
             return;
         }
         let shared = self.shared.clone();
         let started = thread::Builder::new()
             .name("log".into())
             .spawn(move || shared.write_lines());
-        state.thread_runs = started.is_ok();
+        state.thread_running = started.is_ok();
     }
 }
 
@@ -135,7 +138,7 @@
     }
 }
 
-/// Collects what is written into one line, which it adds to the queue when it is dropped.
+/// Collects the written bytes into one line and adds the line to the queue when dropped.
 pub struct LineWriter {
     queue: LineQueue,
     line: Vec<u8>,
@@ -163,24 +166,25 @@
     fn write_lines(&self) {
         let mut log = lock(&self.log);
         let mut can_write = true;
-        // Whether a line was written in part only.
-        let mut is_line_open = false;
+        // Whether the log ends with an incomplete line, of which only a part could be written.
+        let mut has_incomplete_line = false;
         loop {
             let mut line = self.next_line(can_write);
-            if is_line_open {
-                // What there is of the other line stays a line of its own.
+            if has_incomplete_line {
+                // Terminates the incomplete line, so that the next line starts on a line of its own.
                 line.bytes.insert(0, b'\n');
             }
             let written = write_line(&mut **log, &line.bytes);
             can_write = written == Written::Whole;
-            is_line_open = written == Written::Part || (is_line_open && !can_write);
+            has_incomplete_line = written == Written::Part || (has_incomplete_line && !can_write);
             if !can_write {
-                lock(&self.state).dropped += line.stands_for;
+                lock(&self.state).dropped += line.line_count;
             }
         }
     }
 
-    /// Waits for the next line: one from the queue, or a report of dropped lines if none waits and the log takes them.
+    /// Waits for the next line. This is a line from the queue, or a report of dropped lines if the queue is empty and
+    /// the previous write succeeded.
     fn next_line(&self, can_write: bool) -> NextLine {
         let mut state = lock(&self.state);
         state.is_writing = false;
@@ -199,11 +203,11 @@
 
 impl State {
     fn next_line(&mut self, can_write: bool) -> Option<NextLine> {
-        if let Some(bytes) = self.waiting.pop_front() {
-            self.waiting_bytes -= bytes.len();
+        if let Some(bytes) = self.queued.pop_front() {
+            self.queued_bytes -= bytes.len();
             return Some(NextLine {
                 bytes,
-                stands_for: 1,
+                line_count: 1,
             });
         }
         if self.dropped == 0 || !can_write {
@@ -212,7 +216,7 @@
         let dropped = std::mem::take(&mut self.dropped);
         Some(NextLine {
             bytes: Notice::Dropped { lines: dropped }.to_line(self.format),
-            stands_for: dropped,
+            line_count: dropped,
         })
     }
 }
@@ -225,7 +229,7 @@
     Nothing,
 }
 
-/// Writes a whole line, also if the log takes only a part of it at a time.
+/// Writes a line. A log may accept only a part of the line at a time.
 fn write_line(log: &mut dyn Write, line: &[u8]) -> Written {
     let mut rest = line;
     while !rest.is_empty() {
@@ -242,7 +246,8 @@
     Written::Whole
 }
 
-/// Locks a mutex, also after a panic: lines and counts are whole at any time.
+/// Locks a mutex, even if it is poisoned. The lines and counts are consistent at any time, so a panic of another thread
+/// does not invalidate them.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/router-config/src/logging/mod.rs
+++ b/crates/router-config/src/logging/mod.rs
@@ -1,6 +1,6 @@
-//! Logging for all programs: `tracing` lines on standard error, as text or JSON, from the level that the
-//! configuration names. [`RepeatLimiter`] limits how often a line from one place in the program is repeated; a
-//! [`LineQueue`] keeps a log that blocks or fails from stopping the program.
+//! Logging for all programs: `tracing` events on standard error, as text or JSON, at the configured level and above.
+//! [`RepeatLimiter`] limits how often a line from one code location is repeated. [`LineQueue`] ensures that a log that
+//! blocks or fails does not stop the program.
 
 mod line_queue;
 mod notice;
@@ -20,14 +20,14 @@
 use self::repeat_limiter::{RepeatLimitLayer, ReportSuppressed};
 use crate::schema::{Format, Level, Log};
 
-/// Logging was set up before in this process.
+/// Logging is already initialized in this process.
 #[derive(Debug, thiserror::Error)]
-#[error("logging is set up already in this process")]
+#[error("logging is already initialized in this process")]
 pub struct AlreadySet;
 
-/// Reports, when dropped at the end of the program, how many lines were suppressed and not yet reported, and waits a
-/// moment for lines that are not written yet.
-#[must_use = "dropped at once, it reports no line that is suppressed later"]
+/// Finishes logging when it is dropped at the end of the program: reports the suppressed lines that were not yet
+/// reported, and waits a limited time for queued lines to be written.
+#[must_use = "suppressed lines are reported when the guard is dropped; keep it until the program ends"]
 pub struct Guard {
     limiter: Arc<dyn ReportSuppressed + Send + Sync>,
     queue: Option<LineQueue>,
@@ -42,11 +42,11 @@
     }
 }
 
-/// Sends all lines of this process to standard error, and warns if deprecated environment variables were read. Neither
-/// a standard error that blocks nor one that fails stops the process.
+/// Initializes logging of this process to standard error, and warns if deprecated environment variables were read. A
+/// standard error that blocks or fails does not stop the process.
 ///
 /// # Errors
-/// Where logging was set up before.
+/// If logging is already initialized.
 pub fn init(log: &Log) -> Result<Guard, AlreadySet> {
     let queue = standard_error();
     queue.set_format(log.format);
@@ -57,7 +57,7 @@
     Ok(guard)
 }
 
-/// A subscriber that writes to `writer`, not yet set as the process's own.
+/// Creates a subscriber that writes to `writer`, without installing it as the global subscriber.
 pub fn subscriber<W>(log: &Log, writer: W) -> (impl Subscriber + Send + Sync, Guard)
 where
     W: for<'a> MakeWriter<'a> + Clone + Send + Sync + 'static,
--- a/crates/router-config/src/logging/notice.rs
+++ b/crates/router-config/src/logging/notice.rs
@@ -1,26 +1,26 @@
-//! Lines that the logging itself adds to a log, in the format of that log.
+//! Lines that the logging code itself adds to a log, in the format of that log.
 
 use crate::logging::CodeLocation;
 use crate::schema::Format;
 
-/// What the logging has to say.
+/// A report about log lines that were not written.
 pub(super) enum Notice {
-    /// Lines from one place in the program were over the limit on repeated lines.
+    /// Lines from one code location exceeded the limit on repeated lines.
     Suppressed {
-        /// How many.
+        /// Number of lines.
         lines: u64,
-        /// The place.
+        /// The code location that logged the lines.
         location: CodeLocation,
     },
-    /// Lines could not be written: the log was blocked, its reader gone or its disk full.
+    /// Lines could not be written, as the log was blocked, its reader had exited or its disk was full.
     Dropped {
-        /// How many.
+        /// Number of lines.
         lines: u64,
     },
 }
 
 impl Notice {
-    /// The line, with its line feed.
+    /// Formats the report as a line, including the line feed.
     pub(super) fn to_line(&self, format: Format) -> Vec<u8> {
         let mut line = match format {
             Format::Text => self.text(),
--- a/crates/router-config/src/logging/repeat_limiter.rs
+++ b/crates/router-config/src/logging/repeat_limiter.rs
@@ -1,5 +1,5 @@
-//! A limit on how often a line from one place in the program is repeated, so that a fault that comes with every
-//! request cannot fill a disk. The lines over the limit are counted, and the count is written in their place.
+//! A limit on how often a log line from one code location is repeated, so that a fault that occurs with every request
+//! cannot fill a disk. Lines over the limit are suppressed and counted, and the count is written instead.
 
 use std::collections::HashMap;
 use std::fmt::{self, Display, Formatter};
@@ -14,12 +14,12 @@
 use super::notice::Notice;
 use crate::schema::{Format, Log};
 
-/// A place in the source code that writes log lines.
+/// A location in the source code that writes log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct CodeLocation {
-    /// Path of the source file, or the event's target where that is not known.
+    /// Path of the source file, or the event's target if the path is unknown.
     pub file: &'static str,
-    /// Line in the file, from 1; 0 where it is not known.
+    /// Line in the file, starting at 1; 0 if unknown.
     pub line: u32,
 }
 
@@ -39,17 +39,17 @@
     }
 }
 
-/// The lines of one code location in the current interval.
+/// Counts of the lines of one code location in the current interval.
 struct Interval {
-    began: Instant,
+    started_at: Instant,
     written: u32,
     suppressed: u64,
 }
 
 impl Interval {
-    fn beginning(now: Instant) -> Interval {
+    fn starting_at(now: Instant) -> Interval {
         Interval {
-            began: now,
+            started_at: now,
             written: 0,
             suppressed: 0,
         }
@@ -62,12 +62,12 @@
     interval: Duration,
     format: Format,
     writer: W,
-    /// One entry for each location that has written a line.
+    /// One entry for each location that has logged a line.
     intervals: Mutex<HashMap<CodeLocation, Interval>>,
 }
 
 impl<W> RepeatLimiter<W> {
-    /// A limiter with the limits of a configuration, which reports suppressed lines to `writer`.
+    /// Creates a limiter with the limits of a configuration. It reports suppressed lines to `writer`.
     pub fn new(log: &Log, writer: W) -> Self {
         RepeatLimiter {
             max_lines: log.repeat.lines,
@@ -80,19 +80,19 @@
 }
 
 impl<W: for<'a> MakeWriter<'a>> RepeatLimiter<W> {
-    /// Counts one more line of a location and returns whether it may be written.
+    /// Counts a line of a location and returns whether the line may be written.
     pub fn admit(&self, location: CodeLocation, now: Instant) -> bool {
-        // A thread that panicked while it counted leaves counts that are still good enough.
+        // The lock may be poisoned. The counts need not be exact, so those that a panicked thread left are used.
         let mut intervals = self
             .intervals
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         let interval = intervals
             .entry(location)
-            .or_insert_with(|| Interval::beginning(now));
-        if now.duration_since(interval.began) >= self.interval {
+            .or_insert_with(|| Interval::starting_at(now));
+        if now.duration_since(interval.started_at) >= self.interval {
             self.report(location, interval.suppressed);
-            *interval = Interval::beginning(now);
+            *interval = Interval::starting_at(now);
         }
         if interval.written >= self.max_lines {
             interval.suppressed += 1;
@@ -102,7 +102,7 @@
         true
     }
 
-    /// Writes how many lines of a location were suppressed, if any.
+    /// Writes the number of suppressed lines of a location, unless it is 0.
     fn report(&self, location: CodeLocation, suppressed: u64) {
         if suppressed == 0 {
             return;
@@ -112,14 +112,14 @@
             location,
         };
         let line = notice.to_line(self.format);
-        // A log that cannot be written to is no reason to stop.
+        // A log that cannot be written to must not stop the program.
         let _ = self.writer.make_writer().write_all(&line);
     }
 }
 
-/// Reports what a limiter has suppressed, whatever it writes to.
+/// The part of a limiter that does not depend on the type of its writer.
 pub(super) trait ReportSuppressed {
-    /// Writes the count of suppressed lines of each location, and begins to count anew.
+    /// Writes the number of suppressed lines of each location, and resets the counts.
     fn report_suppressed(&self);
 }
 
@@ -137,8 +137,8 @@
 
 /// Applies a limiter to all lines of a subscriber.
 ///
-/// It is a layer over all others and not a per-layer filter: the answer of such a filter to a single event is not
-/// taken back where a line is suppressed, and the next line finds it still in force.
+/// This is a layer above all others and not a per-layer filter. The result of a per-layer filter for an event is not
+/// reset when that event is suppressed, and would still apply to the next event.
 pub(super) struct RepeatLimitLayer<W> {
     limiter: Arc<RepeatLimiter<W>>,
 }
--- a/crates/router-config/src/schema.rs
+++ b/crates/router-config/src/schema.rs
@@ -1,4 +1,4 @@
-//! The schema: every key, its default and the values that it may have. It holds no key that no program reads.
+//! The schema: every key, its default and its allowed values. Every key is read by at least one program.
 
 use std::time::Duration;
 
@@ -8,68 +8,69 @@
 use crate::error::InvalidValue;
 use crate::units::Span;
 
-/// All that an operator can configure.
+/// All options that an operator can set.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Config {
-    /// What programs log, and how.
+    /// Options of the log of all programs.
     pub log: Log,
-    /// The node in service.
+    /// Options of the router process, which is called a node.
     pub node: Node,
 }
 
-/// What programs log, and how.
+/// Options of the log of all programs.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Log {
-    /// The least severe lines that are written.
+    /// The lowest severity that is logged.
     pub level: Level,
-    /// How a line is written.
+    /// Format of a log line.
     pub format: Format,
-    /// How often a line from one place in the program is repeated.
+    /// Limit on repeated lines from one code location.
     pub repeat: Repeat,
-    /// Environment variables that were read under their deprecated names. It is no key of the configuration: reading
-    /// the layers fills it, and setting up logging warns about it once.
+    /// Environment variables that were read under their deprecated names. This is not a configuration key: it is set
+    /// when the layers are read, and the initialization of logging warns about it once.
     #[serde(skip)]
     pub deprecated_variables: DeprecatedVariables,
 }
 
-/// The severity of a line.
+/// The severity of a log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Level {
-    /// No line at all.
+    /// Nothing is logged.
     Off,
-    /// A program cannot do what it is for.
+    /// The program cannot perform its function.
     Error,
-    /// Something is wrong and the program goes on.
+    /// Something is wrong, and the program continues.
     Warn,
-    /// What an operator wants to know of a healthy program.
+    /// Information about normal operation.
     #[default]
     Info,
     /// Each request and attempt.
     Debug,
-    /// Everything.
+    /// All details.
     Trace,
 }
 
-/// How a line is written.
+/// Format of a log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Format {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// How often a line from one place in the program is repeated. The lines over the limit are suppressed and counted, and
-/// the count is written when the next line is, so that a fault that comes with every request cannot fill a disk.
+/// Limit on repeated lines from one code location, so that a fault that occurs with every request cannot fill a disk.
+/// Lines over the limit are suppressed and counted. The count is written before the next line of the location after
+/// the interval, or at the end of the program.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Repeat {
-    /// The most lines in an interval.
+    /// Maximum number of lines in an interval.
     pub lines: u32,
     /// Length of an interval.
     pub per: Span,
@@ -84,21 +85,22 @@
     }
 }
 
-/// The node in service.
+/// Options of the router process, which is called a node.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Node {
-    /// Whether it writes the record of each list, attempt and answer that `docs/FLEET.md` describes.
+    /// Whether the node writes a trace line for each endpoint list, attempt and answer. `docs/FLEET.md` describes the
+    /// lines.
     pub trace: bool,
 }
 
-/// The shortest interval that `log.repeat.per` may be.
+/// Minimum value of `log.repeat.per`.
 const MIN_REPEAT_INTERVAL: Duration = Duration::from_millis(100);
-/// The longest interval that `log.repeat.per` may be.
+/// Maximum value of `log.repeat.per`.
 const MAX_REPEAT_INTERVAL: Duration = Duration::from_secs(3600);
 
 impl Config {
-    /// The first value that has the right type and is still not acceptable.
+    /// The first value that has the right type but is not acceptable.
     pub(crate) fn first_invalid_value(&self) -> Option<InvalidValue> {
         let Repeat { lines, per } = &self.log.repeat;
         if *lines == 0 {
--- a/crates/router-config/src/toml_file.rs
+++ b/crates/router-config/src/toml_file.rs
@@ -1,4 +1,4 @@
-//! Reading configuration files: their size and encoding, their syntax, and the files that one is based on.
+//! Reading of configuration files: checks of their size, encoding and syntax, and the files that a file is based on.
 
 use std::io::Read;
 use std::path::{Path, PathBuf};
@@ -6,12 +6,12 @@
 use crate::error::{ConfigError, ValueSource};
 use crate::toml_position::{self, Position};
 
-/// The longest file that is read, in bytes. A configuration is a page or two.
+/// Maximum size of a file in bytes. Real configurations are far smaller, one or two pages.
 const MAX_FILE_BYTES: u64 = 1024 * 1024;
-/// The key by which a file names another that it is based on.
+/// The key that names the file that a file is based on.
 const BASE_KEY: &str = "base";
 
-/// A file that was read.
+/// A configuration file that was read.
 #[derive(Debug, Clone)]
 pub(crate) struct TomlFile {
     pub(crate) path: PathBuf,
@@ -19,7 +19,7 @@
 }
 
 impl TomlFile {
-    /// Reads a file as text. Its syntax is not yet checked.
+    /// Reads a file as UTF-8 text. Does not check its syntax.
     pub(crate) fn read(path: &Path) -> Result<TomlFile, ConfigError> {
         let unreadable = |source| ConfigError::Unreadable {
             path: path.into(),
@@ -35,7 +35,9 @@
             reason,
         };
         if bytes.len() as u64 > MAX_FILE_BYTES {
-            return Err(not_text("longer than 1 MiB, which no configuration is"));
+            return Err(not_text(
+                "longer than 1 MiB, the maximum size of a configuration file",
+            ));
         }
         let text = String::from_utf8(bytes).map_err(|_| not_text("not UTF-8 text"))?;
         Ok(TomlFile {
@@ -44,7 +46,7 @@
         })
     }
 
-    /// Rejects a text that is not TOML.
+    /// Returns an error if the text is not valid TOML.
     pub(crate) fn check_syntax(&self) -> Result<(), ConfigError> {
         match toml_position::syntax_error(&self.text) {
             None => Ok(()),
@@ -59,7 +61,7 @@
         toml_position::has_key(&self.text, path)
     }
 
-    /// Where the file sets a key.
+    /// The source of a key that the file sets, with its position if known.
     pub(crate) fn source_of(&self, path: &[String]) -> ValueSource {
         ValueSource::File {
             path: self.path.clone(),
@@ -78,7 +80,7 @@
     }
 }
 
-/// The files that one is based on, the nearest first.
+/// Reads the base of a file, then the base of that base, and so on.
 pub(crate) fn read_bases(path: &Path) -> Result<Vec<TomlFile>, ConfigError> {
     let mut chain = vec![TomlFile::read(path)?];
     while let Some(base) = read_base(&chain)? {
@@ -88,26 +90,26 @@
     Ok(chain)
 }
 
-/// The file that the last of a chain is based on, if it names one.
+/// Reads the base of the last file of a chain, if it names one.
 fn read_base(chain: &[TomlFile]) -> Result<Option<TomlFile>, ConfigError> {
     let Some(file) = chain.last() else {
         return Ok(None);
     };
-    let Some(named) = toml_position::text_value(&file.text, BASE_KEY) else {
+    let Some(named_base) = toml_position::string_value(&file.text, BASE_KEY) else {
         return Ok(None);
     };
     let folder = file.path.parent().unwrap_or(Path::new(""));
-    let path = folder.join(named.value);
+    let path = folder.join(named_base.value);
     let is_base = |other: &TomlFile| other.path.canonicalize().ok() == path.canonicalize().ok();
     if path.exists() && chain.iter().any(is_base) {
         let message = format!(
             "base: {} is based on itself: name another or none",
             path.display()
         );
-        return Err(file.invalid(named.position, message));
+        return Err(file.invalid(named_base.position, message));
     }
     let base = TomlFile::read(&path)
-        .map_err(|error| file.invalid(named.position, format!("base: {error}")))?;
+        .map_err(|error| file.invalid(named_base.position, format!("base: {error}")))?;
     base.check_syntax()?;
     Ok(Some(base))
 }
--- a/crates/router-config/src/toml_position.rs
+++ b/crates/router-config/src/toml_position.rs
@@ -1,16 +1,16 @@
-//! Where a key stands in a TOML text, so that an error can name the line and column.
+//! Positions of keys and syntax errors in a TOML text, so that an error can state the line and the column.
 
 use std::fmt::{self, Display, Formatter};
 use std::ops::Range;
 
 use toml_edit::{Document, Item};
 
-/// A place in a text. It prints as `LINE:COLUMN`.
+/// A position in a text. Its `Display` form is `LINE:COLUMN`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Position {
-    /// Line, from 1.
+    /// Line, starting at 1.
     pub line: usize,
-    /// Column in characters, from 1.
+    /// Column in characters, starting at 1.
     pub column: usize,
 }
 
@@ -32,9 +32,9 @@
     }
 }
 
-/// A text value in a TOML text, with the position of its key.
+/// A string in a TOML text, with the position of its key.
 #[derive(Debug)]
-pub(crate) struct TextValue {
+pub(crate) struct StringValue {
     pub(crate) value: String,
     pub(crate) position: Position,
 }
@@ -46,15 +46,15 @@
     pub(crate) message: String,
 }
 
-/// The position of a key, or of the innermost table on the way to it that is written in the text.
+/// The position of a key, or of the innermost table on its path that is written in the text.
 pub(crate) fn position_of(text: &str, path: &[String]) -> Option<Position> {
     let document = Document::parse(text).ok()?;
     let mut item: &Item = document.as_item();
     let mut found: Option<Range<usize>> = None;
     for name in path {
-        // A [[table]] by its number: what is found in it is nearer than its own header.
+        // An element of an array of tables, by its index. A key found inside it is more precise than the header.
         if let Some(tables) = item.as_array_of_tables() {
-            let Some(table) = name.parse().ok().and_then(|number| tables.get(number)) else {
+            let Some(table) = name.parse().ok().and_then(|index| tables.get(index)) else {
                 break;
             };
             found = table.span().or(found);
@@ -70,7 +70,7 @@
         else {
             break;
         };
-        // A table that is written with dots has no span of its own: its key's is the best there is.
+        // A table that is written as a dotted key has no span of its own, so the span of its key is used.
         found = key.span().or_else(|| inner.span()).or(found);
         item = inner;
     }
@@ -84,10 +84,10 @@
     };
     let mut item: Option<&Item> = Some(document.as_item());
     for name in path {
-        let number = name.parse::<usize>().ok();
-        item = item.and_then(|item| match (item.as_array_of_tables(), number) {
-            // A key in one of the tables counts as found with the table: that is as near as it gets.
-            (Some(tables), Some(number)) => tables.get(number).map(|_| item),
+        let index = name.parse::<usize>().ok();
+        item = item.and_then(|item| match (item.as_array_of_tables(), index) {
+            // If the array has an element of this index, the rest of the path is looked up in all elements.
+            (Some(tables), Some(index)) => tables.get(index).map(|_| item),
             (Some(tables), None) => tables.iter().find_map(|table| table.get(name)),
             (None, _) => item.as_table_like().and_then(|table| table.get(name)),
         });
@@ -95,18 +95,18 @@
     item.is_some()
 }
 
-/// A text value at the top level of a TOML text.
-pub(crate) fn text_value(text: &str, name: &str) -> Option<TextValue> {
+/// Returns a string at the top level of a TOML text.
+pub(crate) fn string_value(text: &str, name: &str) -> Option<StringValue> {
     let document = Document::parse(text).ok()?;
     let (key, item) = document.get_key_value(name)?;
     let start = key.span().map_or(0, |span| span.start);
-    Some(TextValue {
+    Some(StringValue {
         value: item.as_str()?.to_string(),
         position: Position::of_byte(text, start),
     })
 }
 
-/// The first syntax error of a TOML text, if it has one.
+/// The first syntax error of a TOML text, if any.
 pub(crate) fn syntax_error(text: &str) -> Option<SyntaxError> {
     let error = Document::parse(text).err()?;
     let start = error.span().map_or(0, |span| span.start);
--- a/crates/router-config/src/units.rs
+++ b/crates/router-config/src/units.rs
@@ -1,4 +1,4 @@
-//! Values with a unit. A bare number is rejected: nobody should have to guess whether it is seconds.
+//! Values with a unit. A number without a unit is rejected, as its unit would be ambiguous.
 
 use std::fmt::{self, Display, Formatter};
 use std::time::Duration;
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub Duration);
 
-/// What a duration looks like, for errors.
+/// The expected form of a duration, for error messages.
 const EXPECTED_FORM: &str = "a time with its unit, such as \"10s\" or \"250ms\"";
 
 impl Display for Span {
--- a/crates/router-config/tests/config.rs
+++ b/crates/router-config/tests/config.rs
@@ -24,7 +24,7 @@
     (name.into(), value.into())
 }
 
-/// The error for a file, without the folder.
+/// Returns the error for a file with this text, without the path of its folder.
 fn error_for(text: &str) -> String {
     let (folder, path) = file(text);
     let error = Layers::default()
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn an_error_in_a_file_has_its_line_and_what_would_be_accepted() {
+fn an_error_in_a_file_states_the_line_and_the_accepted_values() {
     let cases = [
         (
             "[log]\nlevle = \"info\"\n",
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn an_error_in_a_variable_or_a_flag_has_its_name() {
+fn an_error_in_a_variable_or_a_flag_states_its_name() {
     let (_folder, path) = file("[log]\nlevel = \"warn\"\n");
     let error_for = |name, value| {
         let layers = Layers::default()
@@ -180,13 +180,13 @@
         .unwrap_err()
         .to_string();
     assert!(
-        too_long.ends_with("longer than 1 MiB, which no configuration is"),
+        too_long.ends_with("longer than 1 MiB, the maximum size of a configuration file"),
         "{too_long}"
     );
 }
 
 #[test]
-fn the_page_has_each_key_with_its_default() {
+fn the_documentation_lists_each_key_with_its_default() {
     fn keys(prefix: &str, table: &toml::Table, found: &mut Vec<(String, String)>) {
         for (name, value) in table {
             match value {
@@ -195,7 +195,7 @@
             }
         }
     }
-    let page = include_str!("../../../docs/CONFIG.md");
+    let documentation = include_str!("../../../docs/CONFIG.md");
     let mut found = Vec::new();
     keys(
         "",
@@ -205,6 +205,6 @@
     assert!(found.len() >= 5);
     for (key, default) in found {
         let row = format!("| `{key}` | `{default}` |");
-        assert!(page.contains(&row), "docs/CONFIG.md lacks {row}");
+        assert!(documentation.contains(&row), "docs/CONFIG.md lacks {row}");
     }
 }
--- a/crates/router-config/tests/deprecated_variables.rs
+++ b/crates/router-config/tests/deprecated_variables.rs
@@ -1,4 +1,4 @@
-//! Environment variables under the prefix of earlier releases: still read, with one warning.
+//! Environment variables with the prefix of earlier releases are still read and cause one warning.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -40,7 +40,7 @@
     }
 }
 
-/// The lines that the warning about a configuration's variables makes in the log.
+/// Returns the log lines of the warning about a configuration's deprecated variables.
 fn logged_warnings(log: &Log) -> Vec<String> {
     let buffer = Buffer::default();
     let writer = buffer.clone();
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_key_and_a_file_under_the_deprecated_prefix_alone_are_read() {
+fn keys_and_a_file_set_only_with_the_deprecated_prefix_are_read() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("router.toml");
     fs::write(&path, "[log]\nformat = \"json\"\nlevel = \"warn\"\n").unwrap();
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn the_current_name_wins_where_both_are_set_in_whatever_order() {
+fn the_current_name_takes_precedence_in_any_order() {
     let folder = tempfile::tempdir().unwrap();
     let file = |name: &str, format: &str| {
         let path = folder.path().join(name);
@@ -89,7 +89,7 @@
         assert_eq!(config.log.deprecated_variables.variables().len(), 2);
         variables.reverse();
     }
-    // A value that the current name overrides is not looked at.
+    // A value that the variable with the current name overrides is not validated.
     let config = read(&[
         ("CACHE_ROUTER_LOG__LEVEL", "error"),
         ("SPARDEAL_LOG__LEVEL", "loud"),
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn an_error_names_the_variable_as_the_operator_wrote_it() {
+fn an_error_names_the_variable_as_it_was_set() {
     let cases = [
         (
             "SPARDEAL_LOG__LEVLE",
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn current_names_alone_make_no_warning() {
+fn current_names_alone_cause_no_warning() {
     let config = read(&[("CACHE_ROUTER_LOG__LEVEL", "info"), ("SPARDEALS", "1")]);
     assert_eq!(config.log.deprecated_variables.warning(), None);
     assert!(logged_warnings(&config.log).is_empty());
--- a/crates/router-config/tests/line_queue.rs
+++ b/crates/router-config/tests/line_queue.rs
@@ -1,4 +1,4 @@
-//! Logs that block, fail, or take a part of a line: none of them stops the program, and what is dropped is reported.
+//! Logs that block, fail, or accept only a part of a line do not stop the program, and dropped lines are reported.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -14,11 +14,11 @@
 use router_config::Format;
 use router_config::logging::LineQueue;
 
-/// More bytes than wait in a queue.
+/// Number of lines that together exceed the capacity of the queue.
 const LINES: usize = 40_000;
 const LINE: &[u8] = b"a line of forty bytes with its line feed\n";
 
-/// What was written to a log so far.
+/// The bytes that were written to a log so far.
 #[derive(Clone, Default)]
 struct Written(Arc<Mutex<Vec<u8>>>);
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// A log that blocks until it is opened.
+/// A log that blocks until the sender of `opened` is dropped.
 struct BlockedLog {
     opened: Receiver<()>,
     written: Written,
@@ -36,7 +36,7 @@
 
 impl Write for BlockedLog {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        // Once the sender is gone, the log is open.
+        // Returns an error, and so does not block any more, once the sender is dropped.
         let _ = self.opened.recv();
         self.written.0.lock().unwrap().write(bytes)
     }
@@ -56,7 +56,7 @@
     (LineQueue::new(log), open, written)
 }
 
-/// A log whose next writes have these results, and which then takes everything.
+/// A log whose next writes have these results. All writes after them succeed.
 struct FailingLog {
     results: VecDeque<Result<usize, ErrorKind>>,
     written: Written,
@@ -87,13 +87,10 @@
 }
 
 #[test]
-fn a_blocked_log_holds_up_nobody_and_what_it_missed_is_counted() {
+fn a_blocked_log_does_not_block_the_program_and_dropped_lines_are_counted() {
     let (queue, open, written) = blocked_log();
     (0..LINES).for_each(|_| queue.push(LINE.to_vec()));
-    assert!(
-        !queue.flush(),
-        "the end of the program does not wait for it"
-    );
+    assert!(!queue.flush(), "flushing does not wait for a blocked log");
     drop(open);
     wait_until_written(&queue);
     let text = written.text();
@@ -109,7 +106,7 @@
 }
 
 #[test]
-fn lines_that_a_full_disk_did_not_take_are_counted_once_it_takes_lines_again() {
+fn lines_that_failed_to_be_written_are_reported_once_a_write_succeeds() {
     for error in [ErrorKind::StorageFull, ErrorKind::BrokenPipe] {
         let (queue, written) = failing_log(&[Err(error), Err(error)]);
         queue.set_format(Format::Json);
@@ -126,7 +123,7 @@
 }
 
 #[test]
-fn a_line_is_written_whole_by_a_log_that_takes_little_at_a_time_or_nothing_for_a_moment() {
+fn a_line_is_completed_after_partial_interrupted_and_would_block_writes() {
     let interrupted = Err(ErrorKind::Interrupted);
     let full = Err(ErrorKind::WouldBlock);
     let (queue, written) = failing_log(&[Ok(1), interrupted, Ok(2), full, Ok(1)]);
@@ -136,7 +133,7 @@
 }
 
 #[test]
-fn what_is_written_of_a_line_before_the_disk_is_full_spoils_no_other_line() {
+fn an_incomplete_line_on_a_full_disk_does_not_corrupt_later_lines() {
     let full = Err(ErrorKind::StorageFull);
     let (queue, written) = failing_log(&[Ok(4), full, full]);
     queue.push(b"lost line\n".to_vec());
--- a/crates/router-config/tests/logging.rs
+++ b/crates/router-config/tests/logging.rs
@@ -1,4 +1,4 @@
-//! Which lines are logged at a level and in a format, and how often the same line is repeated.
+//! Logging by level and format, and the limit on repeated lines.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -34,7 +34,7 @@
     }
 }
 
-/// The lines that `work` logs.
+/// Returns the lines that `work` logs.
 fn lines_of(log: &Log, work: impl FnOnce()) -> Vec<String> {
     let buffer = Buffer::default();
     let (subscriber, guard) = logging::subscriber(log, buffer.clone());
@@ -64,7 +64,7 @@
 fn repeated_lines_over_the_limit_are_suppressed_and_their_count_is_reported() {
     let lines = lines_of(&log(3, Format::Text), || {
         (0..1000).for_each(|id| tracing::warn!(request = id, "rejected"));
-        tracing::info!("another place has a limit of its own");
+        tracing::info!("another location has its own limit");
     });
     assert_eq!(lines.len(), 5, "{lines:?}");
     assert!(
@@ -72,7 +72,7 @@
         "{}",
         lines[0]
     );
-    assert!(lines[3].contains("another place"), "{}", lines[3]);
+    assert!(lines[3].contains("another location"), "{}", lines[3]);
     let report = &lines[4];
     assert!(
         report.starts_with("WARN log: 997 more lines from ") && report.ends_with(" were left out"),
--- a/crates/router-config/tests/repeat_limiter.rs
+++ b/crates/router-config/tests/repeat_limiter.rs
@@ -1,4 +1,4 @@
-//! The limit on repeated lines, with the clock under the test's control.
+//! The limit on repeated lines, with a clock that the test controls.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -58,6 +58,6 @@
     );
     assert!(
         limiter.admit(location(8), begin),
-        "another location has a limit of its own"
+        "another location has its own limit"
     );
 }
