--- a/crates/fault-injector/src/activation.rs
+++ b/crates/fault-injector/src/activation.rs
@@ -8,11 +8,11 @@
 use crate::original;
 use crate::shared_state::SharedState;
 
-/// The exit code of a process whose plan can't be used.
+/// Exit code of a process whose plan cannot be used.
 const INVALID_PLAN: libc::c_int = 125;
 
-/// The loader calls this when the library is loaded.
-// SAFETY: the section holds pointers to functions without arguments, as this one is.
+/// The dynamic loader calls this function when the library is loaded.
+// SAFETY: the section holds pointers to functions without arguments, and this is one.
 #[used]
 #[unsafe(link_section = ".init_array")]
 static ON_LOAD: extern "C" fn() = on_load;
@@ -24,7 +24,7 @@
     };
     match Plan::read(&variable) {
         Ok(plan) => activate(plan),
-        Err(error) => reject(&error),
+        Err(error) => exit_with_error(&error),
     }
 }
 
@@ -36,13 +36,13 @@
     };
     match state {
         Ok(state) => Injector::new(plan, state).install(),
-        Err(error) => reject(&error),
+        Err(error) => exit_with_error(&error),
     }
 }
 
-/// A process that was to have faults and has none would pass for one that bears them.
-fn reject(error: &dyn Display) {
+/// Ends the process. A process that ran without its planned faults would wrongly appear to withstand them.
+fn exit_with_error(error: &dyn Display) {
     eprintln!("fault-injector: {error}");
-    // SAFETY: it may be called at any time.
+    // SAFETY: `_exit` may be called at any time.
     unsafe { libc::_exit(INVALID_PLAN) }
 }
--- a/crates/fault-injector/src/descriptors.rs
+++ b/crates/fault-injector/src/descriptors.rs
@@ -1,4 +1,5 @@
-//! What descriptors refer to, found out at their first use and kept until they are closed.
+//! The kinds of objects that descriptors refer to. The kind is determined at the first use of a descriptor and cached
+//! until the descriptor is closed.
 
 use std::mem::MaybeUninit;
 use std::sync::atomic::{AtomicU8, Ordering};
@@ -6,38 +7,39 @@
 use fault_plan::DescriptorKind;
 use libc::{c_int, c_void, socklen_t};
 
-/// Descriptors whose kind is kept; that of further ones is found out at each use.
-const MAX_KEPT: usize = 1 << 16;
+/// Number of descriptors whose kind is cached. The kind of descriptors with higher numbers is determined at each use.
+const MAX_CACHED: usize = 1 << 16;
 
 const UNKNOWN: u8 = 0;
 const TCP: u8 = 1;
 const FILE: u8 = 2;
 const PIPE: u8 = 3;
 const LOG: u8 = 4;
-/// Of no kind that faults are for: a Unix socket, an event counter, a device.
+/// An object of another kind, to which faults cannot be limited: a Unix socket, an event counter or a device.
 const OTHER: u8 = 5;
 
-static KEPT: [AtomicU8; MAX_KEPT] = [const { AtomicU8::new(UNKNOWN) }; MAX_KEPT];
+static CACHED_KINDS: [AtomicU8; MAX_CACHED] = [const { AtomicU8::new(UNKNOWN) }; MAX_CACHED];
 
-fn kept(descriptor: c_int) -> Option<&'static AtomicU8> {
-    KEPT.get(usize::try_from(descriptor).ok()?)
+fn cached_kind(descriptor: c_int) -> Option<&'static AtomicU8> {
+    CACHED_KINDS.get(usize::try_from(descriptor).ok()?)
 }
 
-/// A descriptor was opened or is closed: it refers to something else from now on.
-pub fn forget(descriptor: c_int) {
-    if let Some(kept) = kept(descriptor) {
-        kept.store(UNKNOWN, Ordering::Relaxed);
+/// Invalidates the cached kind of a descriptor that was opened or is being closed, as its number will refer to another
+/// object.
+pub fn invalidate(descriptor: c_int) {
+    if let Some(cached_kind) = cached_kind(descriptor) {
+        cached_kind.store(UNKNOWN, Ordering::Relaxed);
     }
 }
 
-/// What a descriptor refers to; `None` for what faults are not for. `errno` may be changed.
+/// Returns the kind of a descriptor, or `None` for a kind to which faults cannot be limited. May change `errno`.
 pub fn kind(descriptor: c_int) -> Option<DescriptorKind> {
-    let kept = kept(descriptor);
-    let mut code = kept.map_or(UNKNOWN, |kept| kept.load(Ordering::Relaxed));
+    let cached_kind = cached_kind(descriptor);
+    let mut code = cached_kind.map_or(UNKNOWN, |cached_kind| cached_kind.load(Ordering::Relaxed));
     if code == UNKNOWN {
-        code = find_out(descriptor);
-        if let Some(kept) = kept {
-            kept.store(code, Ordering::Relaxed);
+        code = determine_kind(descriptor);
+        if let Some(cached_kind) = cached_kind {
+            cached_kind.store(code, Ordering::Relaxed);
         }
     }
     match code {
@@ -49,16 +51,16 @@
     }
 }
 
-fn find_out(descriptor: c_int) -> u8 {
+fn determine_kind(descriptor: c_int) -> u8 {
     if descriptor == libc::STDERR_FILENO {
         return LOG;
     }
     let mut status = MaybeUninit::<libc::stat>::uninit();
-    // SAFETY: `status` has room for what is written.
+    // SAFETY: `status` has room for the data that is written.
     if unsafe { libc::fstat(descriptor, status.as_mut_ptr()) } != 0 {
         return UNKNOWN;
     }
-    // SAFETY: `fstat` has succeeded, so it has written all of it.
+    // SAFETY: `fstat` has succeeded, so it has written all of `status`.
     let mode = unsafe { status.assume_init() }.st_mode;
     match mode & libc::S_IFMT {
         libc::S_IFREG => FILE,
@@ -77,7 +79,7 @@
 fn socket_option(descriptor: c_int, option: c_int) -> Option<c_int> {
     let mut value: c_int = 0;
     let mut length = size_of::<c_int>() as socklen_t;
-    // SAFETY: `value` has room for `length` bytes, and both live through the call.
+    // SAFETY: `value` has room for `length` bytes, and both stay valid during the call.
     let result = unsafe {
         libc::getsockopt(
             descriptor,
@@ -90,10 +92,10 @@
     (result == 0).then_some(value)
 }
 
-/// Bytes that can be read from a descriptor at once. `errno` may be changed.
+/// Number of bytes that can be read from a descriptor without blocking. May change `errno`.
 pub fn readable_bytes(descriptor: c_int) -> usize {
     let mut bytes: c_int = 0;
-    // SAFETY: FIONREAD writes an int, for which there is room.
+    // SAFETY: FIONREAD writes an int, and `bytes` has room for it.
     let result = unsafe { libc::ioctl(descriptor, libc::FIONREAD, &raw mut bytes) };
     if result == 0 {
         usize::try_from(bytes).unwrap_or(0)
--- a/crates/fault-injector/src/hooks.rs
+++ b/crates/fault-injector/src/hooks.rs
@@ -1,9 +1,10 @@
-//! The functions that take the place of the C library's.
+//! The functions that replace those of the C library.
 //!
-//! SAFETY of all of them: each has the name and the type of a function of the C library, and passes its arguments on to
-//! that function unchanged, or with a smaller count of bytes, or not at all. So its callers owe it what they owe that
-//! function. The variadic ones (`open` and its kin) take their last argument as if it were always there, as the calling
-//! conventions of Linux allow; where it is not, it is passed on and not used.
+//! SAFETY of all hooks: each hook has the name and the type of a function of the C library. It passes its arguments on
+//! to that function unchanged, or with a smaller count of bytes, or not at all. The requirements on the callers of a
+//! hook are therefore those on the callers of that function. The variadic functions (`open` and its variants) are
+//! declared as if their last argument were always present, which the calling conventions of Linux allow. If the
+//! argument is absent, its value is passed on and not used.
 
 use fault_plan::SystemCall;
 use libc::{
@@ -18,7 +19,7 @@
 const FAILED: c_int = -1;
 const NANOS_PER_SECOND: i64 = 1_000_000_000;
 
-/// Makes a call that transfers no bytes, unless it is to fail.
+/// Makes a call that transfers no bytes, unless the call is to fail.
 fn call(system_call: SystemCall, descriptor: c_int, make: impl FnOnce() -> c_int) -> c_int {
     match decide(system_call, descriptor) {
         Decision::Fail(error) => {
@@ -29,14 +30,14 @@
     }
 }
 
-/// Makes a call that opens a descriptor, unless it is to fail.
+/// Makes a call that opens a descriptor, unless the call is to fail.
 fn open_call(system_call: SystemCall, make: impl FnOnce() -> c_int) -> c_int {
     let descriptor = call(system_call, FAILED, make);
-    descriptors::forget(descriptor);
+    descriptors::invalidate(descriptor);
     descriptor
 }
 
-/// Makes a call that transfers up to `length` bytes, unless it is to fail. `make` is given the length to ask for.
+/// Makes a call that transfers up to `length` bytes, unless the call is to fail. `make` receives the length to request.
 fn transfer(
     system_call: SystemCall,
     descriptor: c_int,
@@ -56,7 +57,7 @@
     }
 }
 
-/// The length to ask for so that fewer bytes are transferred than could be.
+/// The length to request so that fewer bytes are transferred than possible; `None` if the call cannot be shortened.
 fn shortened(
     system_call: SystemCall,
     descriptor: c_int,
@@ -72,11 +73,12 @@
     shortening.length(possible)
 }
 
-/// Makes a call that transfers bytes from or to several buffers, unless it is to fail. One that is shortened uses a part
-/// of the first buffer only.
+/// Makes a call that transfers bytes from or to several buffers, unless the call is to fail. A shortened call uses only
+/// the first buffer that is not empty, or a part of it.
 ///
 /// # Safety
-/// `buffers` must point to `count` buffers, and `make` must be a function of the C library that may be called with them.
+/// `buffers` must point to `count` buffers, and `make` must be a function of the C library that may be called with
+/// them.
 unsafe fn vector_transfer(
     system_call: SystemCall,
     descriptor: c_int,
@@ -84,10 +86,10 @@
     count: c_int,
     make: &Original<original::VectorFunction>,
 ) -> ssize_t {
-    // SAFETY: as the caller owes it.
-    let pass = || unsafe { make.get()(descriptor, buffers, count) };
+    // SAFETY: the caller guarantees that `make` may be called with these buffers.
+    let call_unchanged = || unsafe { make.get()(descriptor, buffers, count) };
     let shortening = match decide(system_call, descriptor) {
-        Decision::Pass => return pass(),
+        Decision::Pass => return call_unchanged(),
         Decision::Fail(error) => {
             set_errno(error);
             return FAILED as ssize_t;
@@ -96,36 +98,36 @@
     };
     let count = usize::try_from(count).unwrap_or(0);
     if buffers.is_null() || count == 0 {
-        return pass();
+        return call_unchanged();
     }
-    // SAFETY: the caller owes `count` buffers at this address.
+    // SAFETY: the caller guarantees `count` buffers at this address.
     let buffers = unsafe { std::slice::from_raw_parts(buffers, count) };
     let total = buffers.iter().map(|buffer| buffer.iov_len).sum();
     let first = buffers.iter().find(|buffer| buffer.iov_len > 0);
     let Some(first) = first else {
-        return pass();
+        return call_unchanged();
     };
     let Some(length) = shortened(system_call, descriptor, total, shortening) else {
-        return pass();
+        return call_unchanged();
     };
-    let part = iovec {
+    let shortened_buffer = iovec {
         iov_base: first.iov_base,
         iov_len: first.iov_len.min(length),
     };
-    // SAFETY: a part of a buffer of the caller's.
-    unsafe { make.get()(descriptor, &raw const part, 1) }
+    // SAFETY: `shortened_buffer` is a part of a buffer of the caller.
+    unsafe { make.get()(descriptor, &raw const shortened_buffer, 1) }
 }
 
-/// Declares hooks of calls that transfer no bytes and work on a descriptor.
+/// Declares hooks for calls on a descriptor that transfer no bytes.
 macro_rules! descriptor_hooks {
     ($($name:ident = $call:expr, $original:expr, ($($argument:ident: $type:ty),*);)*) => {$(
-        /// Takes the place of the C library's function of this name.
+        /// Replaces the function of this name in the C library.
         ///
         /// # Safety
-        /// As that function.
+        /// Same as for the original function.
         #[unsafe(no_mangle)]
         pub unsafe extern "C" fn $name(descriptor: c_int, $($argument: $type),*) -> c_int {
-            // SAFETY: as the caller owes it.
+            // SAFETY: the caller meets the requirements of the original function.
             call($call, descriptor, || unsafe { $original.get()(descriptor, $($argument),*) })
         }
     )*};
@@ -139,16 +141,16 @@
         (events: *mut epoll_event, capacity: c_int, timeout_ms: c_int);
 }
 
-/// Declares hooks of calls that open a descriptor.
+/// Declares hooks for calls that open a descriptor.
 macro_rules! open_hooks {
     ($($name:ident = $call:expr, $original:expr, ($($argument:ident: $type:ty),*);)*) => {$(
-        /// Takes the place of the C library's function of this name.
+        /// Replaces the function of this name in the C library.
         ///
         /// # Safety
-        /// As that function.
+        /// Same as for the original function.
         #[unsafe(no_mangle)]
         pub unsafe extern "C" fn $name($($argument: $type),*) -> c_int {
-            // SAFETY: as the caller owes it.
+            // SAFETY: the caller meets the requirements of the original function.
             open_call($call, || unsafe { $original.get()($($argument),*) })
         }
     )*};
@@ -166,13 +168,13 @@
         (folder: c_int, path: *const c_char, flags: c_int, mode: mode_t);
 }
 
-/// Declares hooks of calls that transfer bytes from or to one buffer.
+/// Declares hooks for calls that transfer bytes from or to one buffer.
 macro_rules! transfer_hooks {
     ($($name:ident = $call:expr, $original:expr, $buffer:ty, ($($argument:ident: $type:ty),*);)*) => {$(
-        /// Takes the place of the C library's function of this name.
+        /// Replaces the function of this name in the C library.
         ///
         /// # Safety
-        /// As that function.
+        /// Same as for the original function.
         #[unsafe(no_mangle)]
         pub unsafe extern "C" fn $name(
             descriptor: c_int,
@@ -181,7 +183,8 @@
             $($argument: $type),*
         ) -> ssize_t {
             transfer($call, descriptor, length, |length| {
-                // SAFETY: as the caller owes it; the length is at most that of the caller.
+                // SAFETY: the caller meets the requirements of the original function, and the length is at most that of
+                // the caller.
                 unsafe { $original.get()(descriptor, buffer, length, $($argument),*) }
             })
         }
@@ -199,13 +202,13 @@
         (flags: c_int, address: *const sockaddr, address_length: socklen_t);
 }
 
-/// Takes the place of the C library's function of this name.
+/// Replaces the function of this name in the C library.
 ///
 /// # Safety
-/// As that function.
+/// Same as for the original function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn readv(descriptor: c_int, buffers: *const iovec, count: c_int) -> ssize_t {
-    // SAFETY: as the caller owes it.
+    // SAFETY: the caller meets the requirements of the original function.
     unsafe {
         vector_transfer(
             SystemCall::Readv,
@@ -217,13 +220,13 @@
     }
 }
 
-/// Takes the place of the C library's function of this name.
+/// Replaces the function of this name in the C library.
 ///
 /// # Safety
-/// As that function.
+/// Same as for the original function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn writev(descriptor: c_int, buffers: *const iovec, count: c_int) -> ssize_t {
-    // SAFETY: as the caller owes it.
+    // SAFETY: the caller meets the requirements of the original function.
     unsafe {
         vector_transfer(
             SystemCall::Writev,
@@ -235,31 +238,31 @@
     }
 }
 
-/// Takes the place of the C library's function of this name. It never fails by itself: what the descriptor refers to
-/// has to be found out anew once its number is used again.
+/// Replaces the function of this name in the C library. The hook injects no faults. It only invalidates the cached kind
+/// of the descriptor, as the kind has to be determined again when the number of the descriptor is reused.
 ///
 /// # Safety
-/// As that function.
+/// Same as for the original function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn close(descriptor: c_int) -> c_int {
-    descriptors::forget(descriptor);
-    // SAFETY: as the caller owes it.
+    descriptors::invalidate(descriptor);
+    // SAFETY: the caller meets the requirements of the original function.
     unsafe { original::CLOSE.get()(descriptor) }
 }
 
-/// Takes the place of the C library's function of this name: the wall clock is off, all other clocks are right.
+/// Replaces the function of this name in the C library. The offset is applied to the wall clock and to no other clock.
 ///
 /// # Safety
-/// As that function.
+/// Same as for the original function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
-    // SAFETY: as the caller owes it.
+    // SAFETY: the caller meets the requirements of the original function.
     let result = unsafe { original::CLOCK_GETTIME.get()(clock, time) };
     if clock != libc::CLOCK_REALTIME || result != 0 {
         return result;
     }
     let offset = clock_offset_ns();
-    // SAFETY: the call has succeeded, so there is a time at this address, which is the caller's.
+    // SAFETY: the call has succeeded, so there is a time at this address, which belongs to the caller.
     if let Some(time) = unsafe { time.as_mut() } {
         let nanos = time.tv_nsec + offset.rem_euclid(NANOS_PER_SECOND);
         time.tv_sec += offset.div_euclid(NANOS_PER_SECOND) + nanos / NANOS_PER_SECOND;
--- a/crates/fault-injector/src/injector.rs
+++ b/crates/fault-injector/src/injector.rs
@@ -1,4 +1,4 @@
-//! The faults of this process: which calls are hit, and how far the wall clock is off.
+//! The faults of this process: decides which calls are affected, and computes the offset of the wall clock.
 
 use std::ptr::null_mut;
 use std::sync::atomic::{AtomicPtr, Ordering};
@@ -12,21 +12,21 @@
 
 const NANOS_PER_MS: u64 = 1_000_000;
 
-/// The injector of this process; null before its plan is loaded, or where it has none.
+/// The injector of this process; null before the plan is loaded or if there is no plan.
 static INSTALLED: AtomicPtr<Injector> = AtomicPtr::new(null_mut());
 
-/// What happens to a call.
+/// The decision about a call.
 #[derive(Clone, Copy)]
 pub enum Decision {
-    /// It is made.
+    /// The call is made unchanged.
     Pass,
-    /// It fails with this `errno`.
+    /// The call is not made and fails with this `errno`.
     Fail(c_int),
-    /// It transfers fewer bytes than it could, if it could transfer more than one.
+    /// The call transfers fewer bytes than it could, if it could transfer more than one.
     Shorten(Shortening),
 }
 
-/// A call that is to transfer fewer bytes than it could.
+/// The shortening of a call, which transfers fewer bytes than it could.
 #[derive(Clone, Copy)]
 pub struct Shortening {
     fault: usize,
@@ -35,8 +35,8 @@
 }
 
 impl Shortening {
-    /// How many bytes it transfers of those that it could, which are counted as shortened; `None` for fewer than two,
-    /// which can't be.
+    /// Returns the number of bytes that the call is to transfer, and counts the call as affected. Returns `None` if
+    /// fewer than two bytes are possible, as such a call cannot be shortened.
     pub fn length(self, possible: usize) -> Option<usize> {
         let choices = possible.checked_sub(1).filter(|choices| *choices > 0)?;
         self.state.increment(layout::injected(self.fault));
@@ -44,7 +44,7 @@
     }
 }
 
-/// A fault in the form that calls are checked against.
+/// A fault of the plan, with its errors and times converted for the checks of calls.
 struct ActiveFault {
     fault: Fault,
     errors: Vec<c_int>,
@@ -52,24 +52,24 @@
     end_ns: u64,
 }
 
-/// The plan in force.
+/// The active plan and its state.
 pub struct Injector {
     seed: u64,
     started_ns: u64,
     faults: Vec<ActiveFault>,
-    /// The faults of each system call, by their places in the plan.
+    /// For each system call, the indices of its faults in the plan.
     by_call: [Vec<usize>; SystemCall::COUNT],
     clock: Vec<ClockStep>,
     state: SharedState,
 }
 
 impl Injector {
-    /// An injector whose process starts now.
+    /// Creates an injector. The times of the plan count from now.
     pub fn new(plan: Plan, state: SharedState) -> Injector {
         let mut by_call = [const { Vec::new() }; SystemCall::COUNT];
-        for (place, fault) in plan.faults.iter().enumerate() {
+        for (index, fault) in plan.faults.iter().enumerate() {
             for call in &fault.calls {
-                by_call[*call as usize].push(place);
+                by_call[*call as usize].push(index);
             }
         }
         Injector {
@@ -82,14 +82,14 @@
         }
     }
 
-    /// Makes this the injector of the process, until its end.
+    /// Makes this the injector of the process until the process ends.
     pub fn install(self) {
         INSTALLED.store(Box::leak(Box::new(self)), Ordering::Release);
     }
 
     fn installed() -> Option<&'static Injector> {
         let injector = INSTALLED.load(Ordering::Acquire);
-        // SAFETY: it is null or was leaked by `install`, and is never changed after.
+        // SAFETY: the pointer is null or was leaked by `install`, and the injector is never changed after that.
         unsafe { injector.as_ref() }
     }
 
@@ -109,31 +109,31 @@
         let since_start = monotonic_ns().saturating_sub(self.started_ns);
         candidates
             .iter()
-            .filter(|place| self.is_on(**place, since_start))
-            .filter(|place| !call.transfers_bytes() || kind == Some(self.faults[**place].fault.on))
-            .find_map(|place| self.hit(*place))
+            .filter(|index| self.is_on(**index, since_start))
+            .filter(|index| !call.transfers_bytes() || kind == Some(self.faults[**index].fault.on))
+            .find_map(|index| self.draw_decision(*index))
             .unwrap_or(Decision::Pass)
     }
 
-    fn is_on(&self, place: usize, since_start: u64) -> bool {
-        let fault = &self.faults[place];
+    fn is_on(&self, index: usize, since_start: u64) -> bool {
+        let fault = &self.faults[index];
         (fault.begin_ns..fault.end_ns).contains(&since_start)
-            && self.state.load(layout::switch(place)) != 0
+            && self.state.load(layout::switch(index)) != 0
     }
 
-    /// Draws whether a fault hits the next call that it is meant for.
-    fn hit(&self, place: usize) -> Option<Decision> {
-        let fault = &self.faults[place];
-        let number = self.state.increment(layout::calls(place));
-        let draw = mix(mix(self.seed ^ mix(place as u64)) ^ number);
+    /// Counts a call that a fault applies to, and draws whether the fault affects the call.
+    fn draw_decision(&self, index: usize) -> Option<Decision> {
+        let fault = &self.faults[index];
+        let call_number = self.state.increment(layout::calls(index));
+        let draw = mix(mix(self.seed ^ mix(index as u64)) ^ call_number);
         if unit_interval(draw) >= fault.fault.rate {
             return None;
         }
-        // Independent of whether it was hit.
+        // A second draw, which is independent of whether the call is affected.
         let draw = mix(draw);
         if fault.fault.effect == Effect::Short {
             return Some(Decision::Shorten(Shortening {
-                fault: place,
+                fault: index,
                 draw,
                 state: self.state,
             }));
@@ -141,11 +141,11 @@
         let error = fault
             .errors
             .get(draw as usize % fault.errors.len().max(1))?;
-        self.state.increment(layout::injected(place));
+        self.state.increment(layout::injected(index));
         Some(Decision::Fail(*error))
     }
 
-    /// How far the wall clock is ahead, in nanoseconds.
+    /// Offset of the wall clock in nanoseconds; positive if the clock is ahead.
     fn clock_offset_ns(&self) -> i64 {
         let mut offset = self.state.load(layout::CLOCK_OFFSET) as i64;
         if !self.clock.is_empty() {
@@ -177,27 +177,27 @@
     }
 }
 
-/// What happens to a call. `errno` is left as it is.
+/// Decides about a call. Does not change `errno`.
 pub fn decide(call: SystemCall, descriptor: c_int) -> Decision {
     Injector::installed().map_or(Decision::Pass, |injector| injector.decide(call, descriptor))
 }
 
-/// How far the wall clock is ahead, in nanoseconds.
+/// Offset of the wall clock in nanoseconds; positive if the clock is ahead.
 pub fn clock_offset_ns() -> i64 {
     Injector::installed().map_or(0, Injector::clock_offset_ns)
 }
 
-/// The `errno` of this thread.
+/// A saved value of the `errno` of this thread.
 pub struct Errno(c_int);
 
 impl Errno {
-    /// The present value.
+    /// Saves the current value.
     pub fn save() -> Errno {
-        // SAFETY: the C library's `errno` of this thread is always there.
+        // SAFETY: the C library's `errno` of this thread always exists.
         Errno(unsafe { *libc::__errno_location() })
     }
 
-    /// Sets it to what it was.
+    /// Restores the saved value.
     pub fn restore(self) {
         set_errno(self.0);
     }
@@ -205,7 +205,7 @@
 
 /// Sets the `errno` of this thread.
 pub fn set_errno(error: c_int) {
-    // SAFETY: the C library's `errno` of this thread is always there.
+    // SAFETY: the C library's `errno` of this thread always exists.
     unsafe { *libc::__errno_location() = error }
 }
 
@@ -214,7 +214,7 @@
         tv_sec: 0,
         tv_nsec: 0,
     };
-    // SAFETY: `now` has room for what is written.
+    // SAFETY: `now` has room for the time that is written.
     unsafe { CLOCK_GETTIME.get()(libc::CLOCK_MONOTONIC, &raw mut now) };
     now.tv_sec as u64 * 1_000 * NANOS_PER_MS + now.tv_nsec as u64
 }
@@ -227,7 +227,7 @@
     value ^ (value >> 31)
 }
 
-/// A draw as a number from 0 up to but not including 1.
+/// Maps a draw to a number from 0 (inclusive) to 1 (exclusive).
 fn unit_interval(draw: u64) -> f64 {
     const MANTISSA_BITS: u32 = f64::MANTISSA_DIGITS;
     (draw >> (u64::BITS - MANTISSA_BITS)) as f64 / (1u64 << MANTISSA_BITS) as f64
--- a/crates/fault-injector/src/lib.rs
+++ b/crates/fault-injector/src/lib.rs
@@ -1,19 +1,20 @@
-//! A library that is preloaded into a process (`LD_PRELOAD`) and takes the place of some functions of the C library, to
-//! make calls fail, read or write less than they could, or tell a wrong time, as the plan in the environment variable
-//! `FAULT_INJECTOR_PLAN` says (`fault-plan`). Without a plan, all calls pass through.
+//! A library that is preloaded into a process (`LD_PRELOAD`) and replaces some functions of the C library. It makes
+//! calls fail, read or write fewer bytes than they could, or return a wrong time. The environment variable
+//! `FAULT_INJECTOR_PLAN` specifies the plan of the faults (crate `fault-plan`). Without a plan, all calls are made
+//! unchanged.
 //!
 //! | module | responsibility |
 //! | --- | --- |
-//! | `hooks` | the functions that take the place of the C library's |
-//! | `original` | the C library's functions |
+//! | `hooks` | the functions that replace those of the C library |
+//! | `original` | the original functions of the C library |
 //! | `activation` | reads the plan when the library is loaded |
-//! | `injector` | decides on each call: seeded, by its number |
-//! | `descriptors` | what a descriptor refers to |
-//! | `shared_state` | switches and counters, in memory that is shared with the program that started the process |
+//! | `injector` | decides about each call, from the seed and the number of the call |
+//! | `descriptors` | the kind of object that a descriptor refers to |
+//! | `shared_state` | switches and counters, in memory shared with the program that started the process |
 //!
-//! The functions are called in any thread, under any lock and in signal handlers. So once the plan is loaded they
-//! allocate nothing, take no lock and use no thread-local variable but `errno`, which they leave as they found it where
-//! they do not fail.
+//! The hooks may be called in any thread, while any lock is held, and in signal handlers. Once the plan is loaded, they
+//! therefore do not allocate, take no lock, and use no thread-local variable except `errno`, which they leave unchanged
+//! unless they fail.
 
 mod activation;
 mod descriptors;
--- a/crates/fault-injector/src/original.rs
+++ b/crates/fault-injector/src/original.rs
@@ -1,4 +1,4 @@
-//! The functions of the C library that the hooks take the place of.
+//! The functions of the C library that the hooks replace.
 
 use std::ffi::CStr;
 use std::marker::PhantomData;
@@ -10,7 +10,7 @@
     ssize_t, timespec,
 };
 
-/// The next definition of a function after this library's own, looked up once. `F` is its type.
+/// The next definition of a function after the one in this library. It is looked up once. `F` is the function's type.
 pub struct Original<F> {
     name: &'static CStr,
     address: AtomicPtr<c_void>,
@@ -19,7 +19,7 @@
 
 impl<F: Copy> Original<F> {
     /// # Safety
-    /// `F` must be the type of the function of that name.
+    /// `F` must be the type of the function with this name.
     const unsafe fn new(name: &'static CStr) -> Original<F> {
         Original {
             name,
@@ -28,23 +28,23 @@
         }
     }
 
-    /// The function.
+    /// Returns the function, and looks it up if necessary.
     pub fn get(&self) -> F {
         let mut address = self.address.load(Ordering::Relaxed);
         if address.is_null() {
             address = self.look_up();
         }
         const { assert!(size_of::<F>() == size_of::<*mut c_void>()) };
-        // SAFETY: the address is that of the function of this name, whose type is `F` by the contract of `new`.
+        // SAFETY: the address is that of the function with this name, whose type is `F` by the contract of `new`.
         unsafe { std::mem::transmute_copy(&address) }
     }
 
-    /// Looks the function up. `dlsym` may take a lock, so this is done for all functions when the library is loaded.
+    /// Looks up the function. `dlsym` may take a lock, so all functions are looked up when the library is loaded.
     pub fn look_up(&self) -> *mut c_void {
         // SAFETY: the name is a C string.
         let address = unsafe { libc::dlsym(libc::RTLD_NEXT, self.name.as_ptr()) };
         if address.is_null() {
-            // SAFETY: it may be called at any time. There is no C library without these functions.
+            // SAFETY: `abort` may be called at any time. There is no C library without these functions.
             unsafe { libc::abort() }
         }
         self.address.store(address, Ordering::Relaxed);
@@ -52,15 +52,15 @@
     }
 }
 
-/// Declares the original functions, and `look_up_all` for all of them.
+/// Declares the original functions, and `look_up_all`, which looks up all of them.
 macro_rules! originals {
     ($($constant:ident = $name:literal: $function:ty;)*) => {
         $(
-            // SAFETY: the type is that of the function in the C library's headers.
+            // SAFETY: the type is that of the function in the headers of the C library.
             pub static $constant: Original<$function> = unsafe { Original::new($name) };
         )*
 
-        /// Looks all functions up.
+        /// Looks up all functions.
         pub fn look_up_all() {
             $($constant.look_up();)*
         }
--- a/crates/fault-injector/src/shared_state.rs
+++ b/crates/fault-injector/src/shared_state.rs
@@ -1,4 +1,4 @@
-//! Switches and counters of a process, in memory: of its own, or shared with the program that started it.
+//! Switches and counters of a process, in private memory or in memory shared with the program that started the process.
 
 use std::ffi::CString;
 use std::os::unix::ffi::OsStrExt;
@@ -15,7 +15,7 @@
 }
 
 impl SharedState {
-    /// Slots in the process's own memory, all faults on.
+    /// Creates slots in private memory. All faults are on.
     pub fn private(faults: usize) -> SharedState {
         let slots: Vec<AtomicU64> = (0..layout::slots(faults))
             .map(|_| AtomicU64::new(0))
@@ -27,7 +27,7 @@
         state
     }
 
-    /// Slots in a file, which is created, with all faults on, where it does not exist.
+    /// Maps slots of a file. If the file does not exist, it is created with all faults on.
     pub fn mapped(path: &Path, faults: usize) -> std::io::Result<SharedState> {
         let is_new = !path.exists();
         let count = layout::slots(faults);
@@ -47,14 +47,14 @@
         }
     }
 
-    /// A slot's value.
+    /// Returns the value of a slot.
     pub fn load(self, slot: usize) -> u64 {
         self.slots
             .get(slot)
             .map_or(0, |slot| slot.load(Ordering::Relaxed))
     }
 
-    /// Adds one to a slot and returns what it was before.
+    /// Increments a slot and returns its previous value.
     pub fn increment(self, slot: usize) -> u64 {
         self.slots
             .get(slot)
@@ -62,13 +62,13 @@
     }
 }
 
-/// Maps a file of so many slots, which is lengthened where it is shorter.
+/// Maps a file of this many slots. The size of the file is set to that of the slots.
 fn map_file(path: &Path, count: usize) -> std::io::Result<&'static [AtomicU64]> {
     let bytes = count * layout::SLOT_BYTES;
     let name = CString::new(path.as_os_str().as_bytes())?;
     let flags = libc::O_RDWR | libc::O_CREAT | libc::O_CLOEXEC;
     let mode: libc::mode_t = 0o644;
-    // SAFETY: the name is a C string, and the mode is there that O_CREAT needs.
+    // SAFETY: the name is a C string, and the mode that O_CREAT needs is passed.
     let descriptor = unsafe { libc::open(name.as_ptr(), flags, mode) };
     if descriptor < 0 {
         return Err(std::io::Error::last_os_error());
@@ -93,12 +93,12 @@
         if address == libc::MAP_FAILED {
             return Err(std::io::Error::last_os_error());
         }
-        // SAFETY: the mapping has room for `count` slots, starts at a page, is never unmapped, and is accessed atomically
-        // only. Whoever shortens the file ends the process, which is the testbed's own.
+        // SAFETY: the mapping has room for `count` slots, starts at a page, is never unmapped, and is only accessed
+        // atomically. Truncating the file ends this process, which belongs to the testbed.
         Ok(unsafe { std::slice::from_raw_parts(address.cast::<AtomicU64>(), count) })
     };
     let mapped = map();
-    // SAFETY: the descriptor was opened here and is used no more; the mapping stays.
+    // SAFETY: the descriptor was opened here and is not used any more. The mapping remains valid.
     unsafe { libc::close(descriptor) };
     mapped
 }
--- a/crates/fault-plan/src/error_name.rs
+++ b/crates/fault-plan/src/error_name.rs
@@ -4,8 +4,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// An error of the operating system, by the name that its manual pages use. `EAGAIN` is not among them: on a socket that
-/// is watched for edges, the edge that it promises would never come, which no operating system does to a program.
+/// An error of the operating system, by its name in the manual pages. `EAGAIN` is not supported: it promises a
+/// readiness event, which would never come on an edge-triggered socket. No operating system behaves like this.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 #[expect(missing_docs, reason = "the manual pages document each")]
--- a/crates/fault-plan/src/plan.rs
+++ b/crates/fault-plan/src/plan.rs
@@ -6,33 +6,33 @@
 
 use crate::{DescriptorKind, ErrorName, SystemCall};
 
-/// What is done to a call that a fault hits.
+/// The effect of a fault on a call.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Effect {
-    /// It is not made, and fails with one of these errors.
+    /// The call is not made and fails with one of these errors.
     Errors(Vec<ErrorName>),
-    /// It reads or writes fewer bytes than it could, but at least one.
+    /// The call reads or writes fewer bytes than it could, but at least one.
     Short,
 }
 
-/// A fault of some system calls.
+/// A fault that is injected into system calls.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// The calls.
+    /// The affected system calls.
     pub calls: Vec<SystemCall>,
-    /// What calls that transfer bytes have to work on to be hit. Calls that transfer none are hit whatever it is.
+    /// The kind of descriptor to which the fault is limited. Applies only to calls that transfer bytes.
     #[serde(default)]
     pub on: DescriptorKind,
-    /// What is done to them.
+    /// The effect on a call.
     pub effect: Effect,
-    /// Fraction of the calls that is hit.
+    /// Fraction of the calls that are affected.
     pub rate: f64,
-    /// It begins this long after the start of the process, in milliseconds.
+    /// Time from the start of the process to the start of the fault, in milliseconds.
     #[serde(default)]
     pub from_ms: u64,
-    /// It ends this long after the start of the process, in milliseconds; without it, it lasts.
+    /// Time from the start of the process to the end of the fault, in milliseconds. Without it, the fault does not end.
     #[serde(default)]
     pub until_ms: Option<u64>,
 }
@@ -41,35 +41,35 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClockStep {
-    /// When, after the start of the process, in milliseconds.
+    /// Time from the start of the process to the step, in milliseconds.
     pub at_ms: u64,
-    /// How far the clock is ahead from then on, in nanoseconds; negative where it is behind.
+    /// Offset of the clock after the step, in nanoseconds. A negative offset means that the clock is behind.
     pub offset_ns: i64,
 }
 
-/// The faults of one process. Of several that would hit a call, the first one does.
+/// The faults of one process. If several faults would affect a call, the first one does.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Seed of all draws: which calls are hit depends on it, on the fault, and on how many calls there were before.
+    /// Seed of all draws. Whether a call is affected depends on the seed, the fault and the number of previous calls.
     #[serde(default)]
     pub seed: u64,
-    /// The file that faults are switched in and counted in. It is created where it does not exist; without it, all
-    /// faults are on and nobody learns the counts.
+    /// Path of the state file, which switches faults on and off and counts them. The file is created if it does not
+    /// exist. Without a path, all faults are on and the counts are not available.
     #[serde(default)]
     pub state: Option<PathBuf>,
     /// Faults of system calls.
     #[serde(default)]
     pub faults: Vec<Fault>,
-    /// Steps of the wall clock, in the order of their times.
+    /// Steps of the wall clock, sorted by time.
     #[serde(default)]
     pub clock: Vec<ClockStep>,
 }
 
-/// Why there is no plan.
+/// The reason why a plan cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum PlanError {
-    /// Its file can't be read.
+    /// The file of the plan cannot be read.
     #[error("cannot read {}: {source}", .path.display())]
     Unreadable {
         /// Path of the file.
@@ -77,16 +77,16 @@
         /// The operating system's error.
         source: std::io::Error,
     },
-    /// It is not a plan.
-    #[error("not a plan of faults: {0}")]
+    /// The text is not a valid plan.
+    #[error("invalid fault plan: {0}")]
     Invalid(#[from] serde_json::Error),
 }
 
 impl Plan {
-    /// Reads the value of [`crate::PLAN_VARIABLE`]: a plan, or the path of one.
+    /// Reads a plan from the value of [`crate::PLAN_VARIABLE`], which is a plan or the path of a plan.
     ///
     /// # Errors
-    /// If the file can't be read or the text is not a plan.
+    /// If the file cannot be read or the text is not a valid plan.
     pub fn read(variable: &str) -> Result<Plan, PlanError> {
         if variable.trim_start().starts_with('{') {
             return Ok(serde_json::from_str(variable)?);
@@ -99,7 +99,7 @@
         Ok(serde_json::from_slice(&text)?)
     }
 
-    /// The plan as JSON, without the path of a state file that is not valid Unicode.
+    /// The plan as JSON; empty if the path of the state file is not valid Unicode.
     pub fn to_json(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
--- a/crates/fault-plan/src/state_file.rs
+++ b/crates/fault-plan/src/state_file.rs
@@ -1,5 +1,5 @@
-//! The file that an injector shares with the program that started its process: which faults are on, how far the wall
-//! clock is off, and what was injected.
+//! The file that an injector shares with the program that started the process. It holds the switch of each fault, the
+//! offset of the wall clock, and the counts of injected faults.
 
 use std::fs::File;
 use std::os::unix::fs::FileExt;
@@ -7,46 +7,46 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The layout of the file: 64-bit slots in the byte order of the machine.
+/// The layout of the file: 64-bit slots in native byte order.
 pub mod layout {
-    /// Bytes of a slot.
+    /// Size of a slot in bytes.
     pub const SLOT_BYTES: usize = size_of::<u64>();
-    /// The slot of the wall clock's offset in nanoseconds, signed. It is added to the steps of the plan.
+    /// The slot of the wall clock's offset, in signed nanoseconds. It is added to the offset that the plan sets.
     pub const CLOCK_OFFSET: usize = 0;
-    /// The slot that counts readings of a wall clock that was off.
+    /// The slot that counts the readings of the wall clock with an offset other than 0.
     pub const CLOCK_READINGS: usize = 1;
 
-    /// The slot that tells whether a fault is on: 0 if not.
+    /// The slot with the switch of a fault. The fault is off if the value is 0.
     pub const fn switch(fault: usize) -> usize {
         2 + 3 * fault
     }
 
-    /// The slot that counts the calls that a fault could have hit while it was on.
+    /// The slot that counts the calls that a fault could have affected while it was on.
     pub const fn calls(fault: usize) -> usize {
         switch(fault) + 1
     }
 
-    /// The slot that counts the calls that a fault did hit.
+    /// The slot that counts the calls that a fault affected.
     pub const fn injected(fault: usize) -> usize {
         switch(fault) + 2
     }
 
-    /// The number of slots for so many faults.
+    /// The number of slots that this many faults need.
     pub const fn slots(faults: usize) -> usize {
         switch(faults)
     }
 }
 
-/// What became of the calls that a fault is meant for.
+/// Counts of the calls that a fault applies to.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FaultCounts {
-    /// Calls that it could have hit while it was on.
+    /// Calls that the fault could have affected while it was on.
     pub calls: u64,
-    /// Calls that it did hit.
+    /// Calls that the fault affected.
     pub injected: u64,
 }
 
-/// Why a state file can't be used.
+/// An error of the operating system when a state file is used.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot use the state file {} of a fault injector: {source}", .path.display())]
 pub struct StateFileError {
@@ -56,7 +56,7 @@
     source: std::io::Error,
 }
 
-/// A state file, as the program sees it that started the process.
+/// A state file as used by the program that started the process.
 #[derive(Debug)]
 pub struct StateFile {
     path: PathBuf,
@@ -64,10 +64,10 @@
 }
 
 impl StateFile {
-    /// Creates or empties the file for a plan of so many faults, all of them off.
+    /// Creates or truncates the file for a plan with this many faults. All faults are off.
     ///
     /// # Errors
-    /// If the file can't be written.
+    /// If the file cannot be written.
     pub fn create(path: &Path, faults: usize) -> Result<StateFile, StateFileError> {
         let create = || {
             let mut options = File::options();
@@ -88,23 +88,23 @@
     /// Switches a fault on or off.
     ///
     /// # Errors
-    /// If the file can't be written.
+    /// If the file cannot be written.
     pub fn switch(&self, fault: usize, on: bool) -> Result<(), StateFileError> {
         self.write(layout::switch(fault), u64::from(on))
     }
 
-    /// Puts the wall clock ahead by so many nanoseconds, or behind where negative.
+    /// Sets the offset of the wall clock in nanoseconds. A negative offset puts the clock behind.
     ///
     /// # Errors
-    /// If the file can't be written.
+    /// If the file cannot be written.
     pub fn set_clock_offset(&self, offset_ns: i64) -> Result<(), StateFileError> {
         self.write(layout::CLOCK_OFFSET, offset_ns as u64)
     }
 
-    /// What became of the calls of a fault so far.
+    /// Returns the counts of a fault so far.
     ///
     /// # Errors
-    /// If the file can't be read.
+    /// If the file cannot be read.
     pub fn counts(&self, fault: usize) -> Result<FaultCounts, StateFileError> {
         Ok(FaultCounts {
             calls: self.read(layout::calls(fault))?,
@@ -112,10 +112,10 @@
         })
     }
 
-    /// How often a wall clock that was off was read so far.
+    /// Returns how often the wall clock was read with an offset other than 0.
     ///
     /// # Errors
-    /// If the file can't be read.
+    /// If the file cannot be read.
     pub fn clock_readings(&self) -> Result<u64, StateFileError> {
         self.read(layout::CLOCK_READINGS)
     }
--- a/crates/fault-plan/src/system_call.rs
+++ b/crates/fault-plan/src/system_call.rs
@@ -1,10 +1,10 @@
-//! The system calls that faults are injected into, and what they work on.
+//! The system calls that faults can be injected into, and the kinds of descriptors that faults can be limited to.
 
 use std::fmt::{self, Display, Formatter};
 
 use serde::{Deserialize, Serialize};
 
-/// A system call, by the name of its function in the C library.
+/// A system call, by the name of its C library function.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[expect(missing_docs, reason = "the manual pages document each")]
@@ -31,7 +31,7 @@
     /// Number of system calls.
     pub const COUNT: usize = SystemCall::Openat as usize + 1;
 
-    /// Whether it reads bytes into a buffer.
+    /// Whether the call reads bytes into a buffer.
     pub fn is_read(self) -> bool {
         matches!(
             self,
@@ -39,7 +39,7 @@
         )
     }
 
-    /// Whether it writes bytes from a buffer.
+    /// Whether the call writes bytes from a buffer.
     pub fn is_write(self) -> bool {
         matches!(
             self,
@@ -47,7 +47,7 @@
         )
     }
 
-    /// Whether it reads or writes bytes, so that a fault can be limited to one kind of descriptor.
+    /// Whether the call reads or writes bytes, so that its faults can be limited to one kind of descriptor.
     pub fn transfers_bytes(self) -> bool {
         self.is_read() || self.is_write()
     }
@@ -76,18 +76,18 @@
     }
 }
 
-/// What a descriptor that bytes are read from or written to refers to.
+/// The kind of object that a descriptor refers to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DescriptorKind {
     /// A TCP socket.
     #[default]
     Tcp,
-    /// A regular file other than the log.
+    /// A regular file, except standard error.
     File,
-    /// A pipe other than the log.
+    /// A pipe, except standard error.
     Pipe,
-    /// Standard error, where the log goes, whatever it refers to.
+    /// Standard error, which receives the log, regardless of the object that it refers to.
     Log,
 }
 
