--- a/crates/router-config/src/error.rs
+++ b/crates/router-config/src/error.rs
@@ -54,7 +54,7 @@
     },
     /// The file is too long or is not UTF-8 text.
     #[error("{}: {reason}", path.display())]
-    NotText {
+    InvalidFile {
         /// Path of the file.
         path: PathBuf,
         /// Why the file is rejected.
--- a/crates/router-config/src/logging/mod.rs
+++ b/crates/router-config/src/logging/mod.rs
@@ -28,12 +28,12 @@
 /// Finishes logging when it is dropped at the end of the program: reports the suppressed lines that were not yet
 /// reported, and waits a limited time for queued lines to be written.
 #[must_use = "suppressed lines are reported when the guard is dropped; keep it until the program ends"]
-pub struct Guard {
+pub struct LogGuard {
     limiter: Arc<dyn ReportSuppressed + Send + Sync>,
     queue: Option<LineQueue>,
 }
 
-impl Drop for Guard {
+impl Drop for LogGuard {
     fn drop(&mut self) {
         self.limiter.report_suppressed();
         if let Some(queue) = &self.queue {
@@ -47,7 +47,7 @@
 ///
 /// # Errors
 /// If logging is already initialized.
-pub fn init(log: &Log) -> Result<Guard, AlreadySet> {
+pub fn init(log: &Log) -> Result<LogGuard, AlreadySet> {
     let queue = standard_error();
     queue.set_format(log.format);
     let (subscriber, mut guard) = subscriber(log, queue.clone());
@@ -58,12 +58,12 @@
 }
 
 /// Creates a subscriber that writes to `writer`, without installing it as the global subscriber.
-pub fn subscriber<W>(log: &Log, writer: W) -> (impl Subscriber + Send + Sync, Guard)
+pub fn subscriber<W>(log: &Log, writer: W) -> (impl Subscriber + Send + Sync, LogGuard)
 where
     W: for<'a> MakeWriter<'a> + Clone + Send + Sync + 'static,
 {
     let limiter = Arc::new(RepeatLimiter::new(log, writer.clone()));
-    let guard = Guard {
+    let guard = LogGuard {
         limiter: limiter.clone(),
         queue: None,
     };
--- a/crates/router-config/src/toml_file.rs
+++ b/crates/router-config/src/toml_file.rs
@@ -30,16 +30,16 @@
         file.take(MAX_FILE_BYTES + 1)
             .read_to_end(&mut bytes)
             .map_err(unreadable)?;
-        let not_text = |reason| ConfigError::NotText {
+        let invalid_file = |reason| ConfigError::InvalidFile {
             path: path.into(),
             reason,
         };
         if bytes.len() as u64 > MAX_FILE_BYTES {
-            return Err(not_text(
+            return Err(invalid_file(
                 "longer than 1 MiB, the maximum size of a configuration file",
             ));
         }
-        let text = String::from_utf8(bytes).map_err(|_| not_text("not UTF-8 text"))?;
+        let text = String::from_utf8(bytes).map_err(|_| invalid_file("not UTF-8 text"))?;
         Ok(TomlFile {
             path: path.into(),
             text,
