--- a/crates/acceptance/src/check.rs
+++ b/crates/acceptance/src/check.rs
@@ -1,45 +1,48 @@
-//! The acceptance check: which scores of the fleet test are required, and whether the journal has each of them on
-//! these sources, passed and without a regression.
+//! The acceptance check: defines which scores of the fleet test are required, and checks that the journal has a run of
+//! each of them on the current sources that passed without a regression.
+//!
+//! A score runs a set of days, which are the scenarios of the fleet test. A set of days with a name is a panel.
 
 use std::fmt::{self, Display, Formatter};
 
 use crate::journal::{Entry, Journal};
 use crate::sources::{Match, Sources};
 
-/// A score may be this much below the one before it without counting as a regression.
+/// A score that is lower than the previous one by at most this much is not a regression.
 pub const REGRESSION_TOLERANCE: f64 = 0.03;
 
-/// The journal's name for a command that runs a score on real nodes.
+/// Command name in the journal of a score on real nodes.
 const SCORE_COMMAND: &str = "real-score";
-/// Ending of the journal's panel text for a run of the quick days only.
+/// Suffix of the panel text in the journal if only the quick days were run.
 const QUICK_SUFFIX: &str = ":quick";
-/// Ending of the names of the days that the fleet test consists of.
+/// Suffix of the names of the days of the fleet test.
 const FLEET_DAY_SUFFIX: &str = "+mass";
-/// The one day of the fleet test whose name has no such ending.
+/// The only day of the fleet test whose name does not have [`FLEET_DAY_SUFFIX`].
 const SOAK_DAY: &str = "soak";
-/// The metric that is the score itself, from 0 to 1.
+/// Name of the metric that holds the score, from 0 to 1.
 const SCORE_METRIC: &str = "real_score";
-/// The metric that is 1 where the run met the test's gate.
+/// Name of the metric that is 1 if the run passed the test's gate, its pass criteria.
 const GATE_METRIC: &str = "gate";
 
-/// A score that is required.
+/// A required score.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Score {
     /// All days of the fleet test.
     Full,
-    /// Its quick days.
+    /// The quick days of the fleet test.
     Quick,
     /// The quick days of the earlier panel named `later`.
     Later,
-    /// The days with few nodes. It has to be run anew only where the network code changed, not the policy alone.
+    /// The days with few nodes, in the panel named `brink`. It has to be run again only if the network code changed,
+    /// not if only the policy changed.
     Brink,
 }
 
 impl Score {
-    /// All that are required.
+    /// All required scores.
     pub const ALL: [Score; 4] = [Score::Full, Score::Quick, Score::Later, Score::Brink];
 
-    /// The score that an entry is a run of, if any. A run that was interrupted names no days and counts as none.
+    /// The score that an entry is a run of, if any. An interrupted run lists no days and is not a run of any score.
     fn of(entry: &Entry) -> Option<Score> {
         if entry.command != SCORE_COMMAND {
             return None;
@@ -62,13 +65,13 @@
         }
     }
 
-    /// Whether a run counts for all sources that share its network code, whatever their policy.
+    /// Whether a run is valid for all sources with the same network code, even if their policy differs.
     fn depends_on_network_code_only(self) -> bool {
         self == Score::Brink
     }
 }
 
-/// The panel that the arguments of a run name.
+/// The panel named in the arguments of a run.
 fn named_panel(entry: &Entry) -> Option<&str> {
     let mut pairs = entry.arguments.windows(2);
     let flag_and_name = pairs.find(|pair| pair[0] == "--panel")?;
@@ -86,7 +89,7 @@
     }
 }
 
-/// A run's score.
+/// The score of a run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RunScore {
     /// The score, from 0 to 1.
@@ -101,14 +104,14 @@
     }
 }
 
-/// What the journal has of one score on these sources.
+/// What the journal shows about one score on these sources.
 #[derive(Debug, PartialEq)]
 pub enum Finding {
-    /// Run, passed, and without a regression.
+    /// The score was run and passed without a regression.
     Passed(RunScore),
-    /// Not run on these sources.
+    /// The score was not run on these sources.
     Missing,
-    /// Run, but the commit with part of its sources is not in this repository, so they cannot be compared.
+    /// The score was run, but its sources cannot be compared: their commit is not in this repository.
     Unverifiable {
         /// Id of the run's entry.
         entry: String,
@@ -117,20 +120,20 @@
     Failed {
         /// Id of the run's entry.
         entry: String,
-        /// Why the run does not count.
+        /// Why the run is not valid.
         reason: String,
     },
-    /// The last run is below the one before it on other sources.
+    /// The score of the last run is lower than that of the previous run, which was on other sources.
     Regressed {
         /// The last run.
         latest: RunScore,
-        /// The one before it.
+        /// The previous run.
         previous: RunScore,
     },
 }
 
 impl Finding {
-    /// Whether this score is as required.
+    /// Whether the score passed.
     pub fn passed(&self) -> bool {
         matches!(self, Finding::Passed(_))
     }
@@ -153,23 +156,23 @@
     }
 }
 
-/// A required score and what the journal has of it.
+/// A required score and what the journal shows about it.
 #[derive(Debug)]
 pub struct ScoreFinding {
     /// The score.
     pub score: Score,
-    /// What the journal has of it.
+    /// What the journal shows about it.
     pub finding: Finding,
 }
 
-/// What the journal has of all required scores.
+/// What the journal shows about all required scores.
 #[derive(Debug)]
 pub struct Verdict {
     findings: Vec<ScoreFinding>,
 }
 
 impl Verdict {
-    /// Judges a journal for the sources as they are.
+    /// Evaluates a journal for the current sources.
     pub fn of(journal: &Journal, sources: &Sources) -> Verdict {
         let find = |score| ScoreFinding {
             score,
@@ -185,7 +188,7 @@
         &self.findings
     }
 
-    /// Whether every required score is as required.
+    /// Whether every required score passed.
     pub fn passed(&self) -> bool {
         self.findings.iter().all(|found| found.finding.passed())
     }
@@ -207,8 +210,8 @@
     }
 }
 
-/// The deployment under test. Scores of different deployments cannot be compared: the one under test is the one that
-/// the later panel was last run on, since no other deployment has that panel.
+/// The latest run on the deployment under test. Scores of different deployments cannot be compared. Only the deployment
+/// under test has the `later` panel, so this is the last run of that panel.
 fn deployment_under_test(journal: &Journal) -> Option<&Entry> {
     let mut newest_first = journal.entries.iter().rev();
     newest_first.find(|entry| Score::of(entry) == Some(Score::Later))
@@ -245,7 +248,7 @@
     }
 }
 
-/// The latest of some runs, oldest first, that was made on these sources, or the finding where there is none.
+/// The latest of the runs, which are sorted oldest first, on these sources. If there is none, the finding says why.
 fn latest_on<'a>(
     sources: &Sources,
     score: Score,
@@ -267,7 +270,7 @@
     })
 }
 
-/// The score of the last valid run before `latest` that was made on other sources.
+/// The score of the last valid run before `latest` on other sources.
 fn previous_score(score: Score, latest: &Entry, runs: &[&Entry]) -> Option<RunScore> {
     let latest_files = (&latest.policy_files, &latest.node_files);
     runs.iter()
@@ -277,7 +280,7 @@
         .find_map(|run| valid_score(score, run).ok())
 }
 
-/// The score of a run, or why the run does not count.
+/// The score of a run, or why the run is not valid.
 fn valid_score(score: Score, entry: &Entry) -> Result<RunScore, String> {
     if !entry.completed {
         return Err(entry
@@ -300,7 +303,7 @@
     })
 }
 
-/// Why the days of a run do not count, if one does not.
+/// Fails with the reason if a day of a run failed or the run has no days.
 fn check_days(entry: &Entry) -> Result<(), String> {
     let days = entry.days.as_deref().unwrap_or_default();
     if days.is_empty() {
--- a/crates/acceptance/src/journal.rs
+++ b/crates/acceptance/src/journal.rs
@@ -1,6 +1,6 @@
-//! The journal that the operators' fleet test writes: its entries as far as the acceptance check needs them.
+//! Reads the journal that the operators' fleet test writes, limited to the fields that the acceptance check needs.
 //!
-//! The keys of an entry are the test's own; fields with another name here are mapped by `serde`.
+//! The fleet test defines the JSON keys. Fields with a different Rust name are mapped by `serde`.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -11,7 +11,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum JournalError {
     /// The folder is missing or cannot be listed.
-    #[error("no journal: cannot read {}: {source}; run a score of the fleet test first, which writes it", path.display())]
+    #[error("no journal: cannot read {}: {source}; run a score of the fleet test first to create it", path.display())]
     Unreadable {
         /// The folder.
         path: PathBuf,
@@ -20,30 +20,30 @@
     },
 }
 
-/// An entry: one run of the fleet test. What an older or a foreign entry does not hold stays empty.
+/// An entry, which describes one run of the fleet test. Fields that an older or foreign entry lacks stay empty.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 pub struct Entry {
     /// Its id, as the test prints it.
     pub id: String,
-    /// When the run began and ended, in UTC; the end is empty where it was interrupted.
+    /// Start and end of the run, in UTC; the end is empty if the run was interrupted.
     #[serde(rename = "at")]
     pub times: Vec<String>,
-    /// What was run; `real-score` is a score on real nodes.
+    /// Command that was run; `real-score` runs a score on real nodes.
     #[serde(rename = "cmd")]
     pub command: String,
-    /// The command's arguments.
+    /// Arguments of the command.
     #[serde(rename = "argv")]
     pub arguments: Vec<String>,
-    /// Whether it ran to its end.
+    /// Whether the run completed.
     #[serde(rename = "ok")]
     pub completed: bool,
-    /// Name of the deployment that was under test.
+    /// Name of the deployment under test.
     #[serde(rename = "site")]
     pub deployment: Option<String>,
-    /// The days that were run, as `real:SITE:1:DAY,DAY[:quick]`.
+    /// The days that were run, as `real:SITE:1:DAY,DAY[:quick]`. A day is one scenario of the fleet test.
     pub panel: Option<String>,
-    /// What went wrong with the run itself.
+    /// Error of the run itself.
     pub error: Option<String>,
     /// Whether the sources changed while it ran.
     pub edited_meanwhile: bool,
@@ -53,10 +53,11 @@
     /// Files of the node.
     #[serde(rename = "node")]
     pub node_files: Vec<SourceFile>,
-    /// The metrics of all days together; `real_score`, and `gate`, 1 where it passed.
+    /// Metrics over all days, among them `real_score`, and `gate`, which is 1 if the run passed the test's gate,
+    /// its pass criteria.
     #[serde(rename = "figures")]
     pub metrics: BTreeMap<String, serde_json::Value>,
-    /// The days.
+    /// Results of the days.
     pub days: Option<Vec<Day>>,
     /// All sources, as a commit and the files that differed from it.
     #[serde(rename = "tree")]
@@ -67,22 +68,22 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 #[serde(default)]
 pub struct SourceFile {
-    /// From the root of the repository.
+    /// Path from the root of the repository.
     pub path: String,
     /// SHA-256 of its bytes, in hexadecimal.
     pub sha256: String,
 }
 
-/// A day of a score.
+/// Result of a day, which is one scenario of a score.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 pub struct Day {
     /// Its name.
     pub name: String,
-    /// How often each rule was broken.
+    /// Number of violations of each rule.
     #[serde(rename = "rules")]
     pub rule_violations: Option<BTreeMap<String, u64>>,
-    /// The part of the gate that failed, if one did.
+    /// The part of the gate that the day failed, if any.
     #[serde(rename = "gate")]
     pub failed_gate: Option<String>,
     /// A crash, a node that did not start or a limit that was exceeded.
@@ -94,17 +95,17 @@
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 pub struct SourceTree {
-    /// The commit that the files below differ from.
+    /// The commit that `files` and `removed` are relative to.
     #[serde(rename = "base")]
     pub base_commit: String,
-    /// Files that differ.
+    /// Files that differ from the commit.
     pub files: Vec<SourceFile>,
-    /// Paths of the commit's files that were not there.
+    /// Paths of files of the commit that were missing.
     #[serde(rename = "gone")]
     pub removed: Vec<String>,
 }
 
-/// The entries that could be read, oldest first, and a line for each that could not.
+/// The entries that could be read, oldest first, and a message for each that could not.
 #[derive(Debug, Default)]
 pub struct Journal {
     /// The entries.
@@ -114,10 +115,10 @@
 }
 
 impl Journal {
-    /// Reads all entries of a folder. One that is incomplete or no entry at all is skipped and named.
+    /// Reads all entries of a folder. Files that are not complete entries are skipped and listed in `skipped`.
     ///
     /// # Errors
-    /// Where the folder cannot be listed.
+    /// If the folder cannot be listed.
     pub fn read(folder: &Path) -> Result<Journal, JournalError> {
         let mut journal = Journal::default();
         for path in entry_paths(folder)? {
@@ -135,7 +136,7 @@
     }
 }
 
-/// The files of a folder that may be entries, by name.
+/// The JSON files of a folder, sorted by name.
 fn entry_paths(folder: &Path) -> Result<Vec<PathBuf>, JournalError> {
     let unreadable = |source| JournalError::Unreadable {
         path: folder.into(),
@@ -153,7 +154,7 @@
     Ok(paths)
 }
 
-/// Why a file is no entry.
+/// Why a file is not an entry.
 #[derive(Debug, thiserror::Error)]
 enum EntryError {
     #[error(transparent)]
--- a/crates/acceptance/src/lib.rs
+++ b/crates/acceptance/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' fleet test, read from what it leaves behind: whether it was run and passed on the sources as they
-//! are ([`check`]), and how far a run stayed from the limits of the rules ([`margins`]).
+//! Evaluates recorded runs of the operators' fleet test: [`check`] decides whether the test was run and passed on the
+//! current sources, and [`margins`] reports how far a run stayed from the limits of the test's rules.
 //!
-//! The crate reads journals and logs and changes nothing. It needs neither the test itself nor a node.
+//! The crate only reads journals and logs. It requires neither the test program nor a running node.
 
 pub mod check;
 pub mod journal;
--- a/crates/acceptance/src/margins/availability.rs
+++ b/crates/acceptance/src/margins/availability.rs
@@ -1,26 +1,26 @@
-//! When each server took requests and when not, as the notifications of all nodes together show it.
+//! Derives the periods in which each server was not ready from the notifications of all nodes.
 //!
-//! Lists come late: one node may still receive that a server is ready after another was notified that it is not. A
-//! notification that is older than what is known already, by the server's start or the list's version, changes nothing.
+//! Lists may arrive late: a node may receive that a server is ready after another node was notified that it is not. A
+//! notification that is older than the known state, by the server's start and the list's version, is ignored.
 
 use std::collections::HashMap;
 
 use crate::trace::Micros;
 
-/// What a node was notified of a server.
+/// A state of a server that a node was notified of.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct StateNotification {
     pub(super) at: Micros,
     /// Version of the list.
     pub(super) version: u64,
-    /// The server's start as the list has it.
+    /// Start time of the server in the list.
     pub(super) started: Micros,
     pub(super) is_ready: bool,
 }
 
 impl StateNotification {
-    /// Whether this is older than what is known: no later list, and of an earlier start. A server that was not ready
-    /// does not become so again in the same start by the same list or an earlier one, either.
+    /// Whether this is older than the known state: its list is not newer and its server start is earlier. A server that
+    /// is not ready does not become ready again through the same or an older list unless it has restarted.
     fn is_outdated(&self, known: &KnownState) -> bool {
         let of_earlier_start = if self.is_ready {
             self.started <= known.started
@@ -31,26 +31,26 @@
     }
 }
 
-/// The state of a server, as the notifications until some time show it.
+/// State of a server according to the notifications up to a point in time.
 #[derive(Debug, Clone, Copy)]
 struct KnownState {
-    /// The latest version of a list that has it.
+    /// Latest version of a list that contains the server.
     version: u64,
-    /// The latest start that was heard of.
+    /// Latest known start of the server.
     started: Micros,
     is_ready: bool,
 }
 
-/// A time in which a server took no requests.
+/// A period in which a server was not ready.
 #[derive(Debug, Clone, Copy)]
 struct UnreadyPeriod {
-    /// When the first node was notified.
+    /// Time at which the first node was notified that the server is not ready.
     first_notified: Micros,
-    /// When the first node was notified that the server is back.
+    /// Time at which the first node was notified that the server is ready again.
     until: Option<Micros>,
 }
 
-/// The notifications of all servers and the periods that they amount to.
+/// The notifications of all servers, and the periods derived from them.
 #[derive(Debug, Default)]
 pub(super) struct Availability {
     notifications: HashMap<u32, Vec<StateNotification>>,
@@ -58,13 +58,13 @@
 }
 
 impl Availability {
-    /// Takes a notification, in any order.
+    /// Adds a notification. The order does not matter.
     pub(super) fn add(&mut self, server: u32, notification: StateNotification) {
         let notifications = self.notifications.entry(server).or_default();
         notifications.push(notification);
     }
 
-    /// Finds the periods, once all notifications are there.
+    /// Computes the periods after all notifications were added.
     pub(super) fn find_periods(&mut self) {
         for (server, mut notifications) in self.notifications.drain() {
             notifications.sort_by_key(|notification| notification.at);
@@ -73,7 +73,7 @@
         }
     }
 
-    /// When the first node was notified that a server is not ready, of the period that a time is in.
+    /// Time at which the first node was notified that a server is not ready, for the period that contains `at`.
     pub(super) fn first_unready_notification(&self, server: u32, at: Micros) -> Option<Micros> {
         let periods = self.unready_periods.get(&server)?;
         let begun = periods.partition_point(|period| period.first_notified <= at);
@@ -83,7 +83,7 @@
     }
 }
 
-/// The periods of one server, from its notifications by time.
+/// The periods of one server, from its notifications sorted by time.
 fn unready_periods(notifications: &[StateNotification]) -> Vec<UnreadyPeriod> {
     let mut periods: Vec<UnreadyPeriod> = Vec::new();
     let mut known = KnownState {
--- a/crates/acceptance/src/margins/capacity.rs
+++ b/crates/acceptance/src/margins/capacity.rs
@@ -1,4 +1,4 @@
-//! What a warm server of each kind can do. Nobody is told it; it is estimated from what the nodes saw.
+//! Estimates the capacity of a warm server of each kind from the traces, which do not state it.
 
 use std::collections::BTreeMap;
 
@@ -6,26 +6,25 @@
 use super::recording::Recording;
 use crate::trace::{Micros, RuleParameters};
 
-/// The median of the windows in which warm servers rejected attempts gives their kind's capacity where there are at
-/// least so many.
-const MIN_BUSY_WINDOWS: usize = 20;
-/// Where there are fewer, a kind's capacity is at least the rate at this quantile of all windows.
-const SEEN_RATE_QUANTILE: f64 = 0.95;
-/// A server was busy in a window where it rejected more than one attempt for so many that it answered: it was offered
-/// more than it could do for the better part of the window.
-const ANSWERS_FOR_EACH_REJECTION: usize = 10;
+/// With at least this many saturated windows, the capacity of a kind is the median rate of these windows.
+const MIN_SATURATED_WINDOWS: usize = 20;
+/// With fewer saturated windows, the capacity of a kind is at least the rate at this quantile of all windows.
+const OBSERVED_RATE_QUANTILE: f64 = 0.95;
+/// A window is saturated if the server rejected more than one attempt for each this many that it answered. The server
+/// was then offered more than its capacity for most of the window.
+const ANSWERS_PER_REJECTION: usize = 10;
 /// Microseconds in a second.
 pub(super) const US_PER_S: f64 = 1e6;
 
-/// The rates at which warm servers of one kind answered, in attempts a second, one for each window.
+/// Rates at which warm servers of one kind answered, in attempts per second, one for each window.
 #[derive(Default)]
 struct WindowRates {
     all: Vec<f64>,
-    /// Those of windows in which the server also rejected attempts.
-    busy: Vec<f64>,
+    /// Rates of the saturated windows.
+    saturated: Vec<f64>,
 }
 
-/// What a warm server of each kind can do.
+/// The capacity of a warm server of each kind.
 pub(super) fn by_kind(
     recording: &Recording,
     parameters: &RuleParameters,
@@ -64,14 +63,14 @@
         let rejected = rejections.map_or(0, |times| count_between(times, from, from + window));
         let rate = answered as f64 * US_PER_S / window as f64;
         rates.all.push(rate);
-        if rejected * ANSWERS_FOR_EACH_REJECTION > answered {
-            rates.busy.push(rate);
+        if rejected * ANSWERS_PER_REJECTION > answered {
+            rates.saturated.push(rate);
         }
         from += window;
     }
 }
 
-/// When a server was warm after its last start; 0 where it started long ago.
+/// Time from which a server was warm after its last start; 0 if it started long ago.
 fn warm_since(recording: &Recording, parameters: &RuleParameters, server: u32) -> Micros {
     match recording.last_start(server) {
         0 => 0,
@@ -79,26 +78,26 @@
     }
 }
 
-/// How many of some sorted times are from `from` on and before `until`.
+/// Number of the sorted times in `from..until`.
 fn count_between(times: &[Micros], from: Micros, until: Micros) -> usize {
     times.partition_point(|at| *at < until) - times.partition_point(|at| *at < from)
 }
 
 fn capacity_from(mut rates: WindowRates) -> Capacity {
-    if rates.busy.len() >= MIN_BUSY_WINDOWS {
+    if rates.saturated.len() >= MIN_SATURATED_WINDOWS {
         return Capacity {
-            attempts_per_s: quantile(&mut rates.busy, 0.5),
-            seen_busy: true,
+            attempts_per_s: quantile(&mut rates.saturated, 0.5),
+            is_saturated: true,
         };
     }
     Capacity {
-        attempts_per_s: quantile(&mut rates.all, SEEN_RATE_QUANTILE),
-        seen_busy: false,
+        attempts_per_s: quantile(&mut rates.all, OBSERVED_RATE_QUANTILE),
+        is_saturated: false,
     }
 }
 
-/// A quantile of some values, of which there is at least one.
-fn quantile(values: &mut [f64], part: f64) -> f64 {
+/// A quantile of the values, of which there must be at least one.
+fn quantile(values: &mut [f64], fraction: f64) -> f64 {
     values.sort_unstable_by(f64::total_cmp);
-    values[((values.len() - 1) as f64 * part) as usize]
+    values[((values.len() - 1) as f64 * fraction) as usize]
 }
--- a/crates/acceptance/src/margins/evaluation.rs
+++ b/crates/acceptance/src/margins/evaluation.rs
@@ -1,17 +1,17 @@
-//! The margins of a recorded run: for each rule the event that came nearest to its limit.
+//! Computes the margins of a recorded run: for each rule, the event that came closest to its limit.
 
 use super::findings::{
-    AnswerLateness, AttemptAfterDeparture, ClientDepartures, Gap, Margins, StatedDeadline,
+    AnswerLateness, AttemptAfterDisconnect, ClientDisconnects, Gap, Margins, StatedDeadline,
     StatedDeadlines,
 };
-use super::limits::{DEPARTURE_GRACE, STATED_DEADLINE_SLACK};
+use super::limits::{DISCONNECT_GRACE_US, STATED_DEADLINE_SLACK_US};
 use super::recording::{
     DiagnosticLines, RecordedDeadline, RecordedRequest, RecordedSend, Recording, RequestState,
 };
 use super::{capacity, lost_requests, notification, readiness, slow_start};
 use crate::trace::{Micros, RuleParameters};
 
-/// Evaluates a recording whose events are sorted.
+/// Evaluates a recording. Its events must be sorted.
 pub(super) fn evaluate(recording: Recording, parameters: RuleParameters) -> Margins {
     let capacity = capacity::by_kind(&recording, &parameters);
     Margins {
@@ -20,7 +20,7 @@
         notification: notification::evaluate(&recording),
         latest_answer: latest_answer(&recording),
         lost_requests: lost_requests::evaluate(&recording),
-        client_departures: client_departures(&recording),
+        client_disconnects: client_disconnects(&recording),
         stated_deadlines: stated_deadlines(&recording),
         readiness: readiness::evaluate(&recording),
         gaps: gaps(recording.diagnostics),
@@ -28,7 +28,7 @@
         capacity,
         outcomes: recording.outcomes,
         discovery_calls: recording.discovery_calls,
-        broken_lines: recording.broken_lines,
+        malformed_lines: recording.malformed_lines,
     }
 }
 
@@ -44,39 +44,39 @@
         {
             latest = Some(AnswerLateness {
                 lateness_us,
-                client_name: request.client_name.clone(),
+                client_request_id: request.client_request_id.clone(),
             });
         }
     }
     latest
 }
 
-/// The attempts that began after their clients had departed.
-fn client_departures(recording: &Recording) -> ClientDepartures {
-    let departed = |request: &&RecordedRequest| request.departed_at.is_some();
-    let mut found = ClientDepartures {
-        departures: recording.requests.iter().filter(departed).count() as u64,
-        ..ClientDepartures::default()
+/// The attempts that began after their clients disconnected.
+fn client_disconnects(recording: &Recording) -> ClientDisconnects {
+    let disconnected = |request: &&RecordedRequest| request.disconnected_at.is_some();
+    let mut found = ClientDisconnects {
+        disconnects: recording.requests.iter().filter(disconnected).count() as u64,
+        ..ClientDisconnects::default()
     };
     for send in &recording.sends {
         let Some(request) = send.request.map(|index| &recording.requests[index]) else {
             continue;
         };
-        let Some(elapsed) = time_since_departure(send, request) else {
+        let Some(elapsed) = time_since_disconnect(send, request) else {
             continue;
         };
         found.attempts_after += 1;
-        found.lost += u64::from(elapsed > DEPARTURE_GRACE);
+        found.lost += u64::from(elapsed > DISCONNECT_GRACE_US);
         if found
             .latest
             .as_ref()
             .is_none_or(|latest| elapsed > latest.elapsed)
         {
-            found.latest = Some(AttemptAfterDeparture {
+            found.latest = Some(AttemptAfterDisconnect {
                 node: send.node,
                 server: send.server,
                 kind: send.kind,
-                client_name: request.client_name.clone(),
+                client_request_id: request.client_request_id.clone(),
                 elapsed,
             });
         }
@@ -84,22 +84,22 @@
     found
 }
 
-/// How long after its client's departure an attempt began, if it did.
-fn time_since_departure(send: &RecordedSend, request: &RecordedRequest) -> Option<Micros> {
-    let departed_at = request.departed_at?;
+/// Time from the client's disconnect to the start of an attempt, if the attempt began later.
+fn time_since_disconnect(send: &RecordedSend, request: &RecordedRequest) -> Option<Micros> {
+    let disconnected_at = request.disconnected_at?;
     send.at
-        .checked_sub(departed_at)
+        .checked_sub(disconnected_at)
         .filter(|elapsed| *elapsed > 0)
 }
 
-/// The deadlines that attempts stated, beside what was left to their clients.
+/// Compares the deadlines that attempts stated with the time left to their clients.
 fn stated_deadlines(recording: &Recording) -> StatedDeadlines {
     let mut found = StatedDeadlines::default();
     for deadline in &recording.deadlines {
         let request = &recording.requests[deadline.request];
         let excess_us = excess_over_remaining(deadline, request);
         found.recorded += 1;
-        found.over_limit += u64::from(excess_us > STATED_DEADLINE_SLACK as i64);
+        found.over_limit += u64::from(excess_us > STATED_DEADLINE_SLACK_US as i64);
         if found
             .worst
             .as_ref()
@@ -108,7 +108,7 @@
             found.worst = Some(StatedDeadline {
                 excess_us,
                 node: recording.processes[request.process].node,
-                client_name: request.client_name.clone(),
+                client_request_id: request.client_request_id.clone(),
                 attempt: deadline.attempt,
             });
         }
@@ -121,22 +121,24 @@
     deadline.stated as i64 - remaining_us
 }
 
-/// What the recording does not show.
+/// The data that the recording lacks.
 fn gaps(lines: DiagnosticLines) -> Vec<Gap> {
     let always = [
-        Gap::WorkOfRequests,
-        Gap::TimeAtDiscovery,
+        Gap::RequestWork,
+        Gap::DiscoveryUpdateTime,
         Gap::Reconfiguration,
-        Gap::TimeOfBytes,
+        Gap::ByteTransferTime,
     ];
-    let unless_told = [
+    let unless_recorded = [
         (lines.deadline, Gap::StatedDeadlines),
-        (!lines.lacks_departures, Gap::TimeOfDeparture),
+        (!lines.lacks_disconnects, Gap::DisconnectTime),
         (lines.dropped, Gap::DroppedRequests),
-        (lines.readiness, Gap::TimeOfReadiness),
-        (lines.shutdown_or_exit, Gap::EndOfProcess),
+        (lines.readiness, Gap::ReadinessTime),
+        (lines.shutdown_or_exit, Gap::ProcessEndCause),
     ];
-    let missing = unless_told.into_iter().filter(|(is_told, _)| !is_told);
+    let missing = unless_recorded
+        .into_iter()
+        .filter(|(is_recorded, _)| !is_recorded);
     always
         .into_iter()
         .chain(missing.map(|(_, gap)| gap))
--- a/crates/acceptance/src/margins/findings.rs
+++ b/crates/acceptance/src/margins/findings.rs
@@ -1,4 +1,4 @@
-//! What the evaluation of a run finds for each rule.
+//! The results of the evaluation of a run for each rule.
 
 use std::collections::BTreeMap;
 
@@ -7,46 +7,47 @@
 /// The margins of one run.
 #[derive(Debug)]
 pub struct Margins {
-    /// The settings that the rules are stated in.
+    /// Settings that the limits of the rules depend on.
     pub parameters: RuleParameters,
-    /// The load on restarted servers while they warmed up.
+    /// Load on restarted servers while they warmed up.
     pub slow_start: SlowStart,
-    /// The latest send to a server that the node was notified is draining or removed.
+    /// The latest send to a server after its node was notified that the server is draining or removed.
     pub send_after_drain: Option<SendAfterDrain>,
-    /// How late nodes were notified that a server is draining or removed.
+    /// Delay until nodes were notified that a server is draining or removed.
     pub notification: Notification,
     /// The latest final answer.
     pub latest_answer: Option<AnswerLateness>,
-    /// Requests that were read and never answered in time.
+    /// Requests that were read and not answered in time.
     pub lost_requests: LostRequests,
-    /// Attempts for clients that had departed.
-    pub client_departures: ClientDepartures,
-    /// The deadlines that attempts stated to their servers.
+    /// Attempts for clients that had disconnected.
+    pub client_disconnects: ClientDisconnects,
+    /// Deadlines that attempts stated to their servers.
     pub stated_deadlines: StatedDeadlines,
-    /// How soon restarted processes were ready.
+    /// Time until restarted processes were ready.
     pub readiness: Readiness,
-    /// What a warm server of each kind can do.
+    /// Capacity of a warm server of each kind.
     pub capacity: BTreeMap<i64, Capacity>,
-    /// Final answers, by how they ended.
+    /// Number of ended requests, by outcome.
     pub outcomes: BTreeMap<String, u64>,
     /// Calls to discovery.
     pub discovery_calls: DiscoveryCalls,
-    /// Lines of the traces that could not be read.
-    pub broken_lines: BrokenLines,
-    /// What the recording does not show.
+    /// Trace lines that could not be parsed.
+    pub malformed_lines: MalformedLines,
+    /// Data that the recording lacks.
     pub gaps: Vec<Gap>,
 }
 
-/// The load on restarted servers while they warmed up.
+/// Load on restarted servers while they warmed up.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct SlowStart {
-    /// The worst window of each start of a server that received attempts, the worst first.
+    /// The worst window of each server start that was followed by attempts, worst first.
     pub worst_windows: Vec<SlowStartWindow>,
-    /// Starts of servers that received attempts, of kinds whose capacity is unknown: no warm server of them answered.
+    /// Number of server starts that were followed by attempts but whose capacity is unknown because no warm server of
+    /// the kind answered.
     pub starts_of_unknown_capacity: usize,
 }
 
-/// The attempts that one server which was warming up received in a window, from all nodes together.
+/// Attempts that one warming-up server received in a window, from all nodes together.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SlowStartWindow {
     /// Id of the server.
@@ -55,28 +56,28 @@
     pub kind: i64,
     /// End of the window, in microseconds after the server's start.
     pub age: Micros,
-    /// Attempts in the window.
+    /// Number of attempts in the window.
     pub attempts: usize,
-    /// The attempts beyond which the server collapses.
+    /// Number of attempts beyond which the server collapses.
     pub budget: f64,
-    /// How many of the attempts came from nodes that had been notified of this start.
+    /// Number of attempts from nodes that had been notified of this start.
     pub notified_attempts: usize,
-    /// How many nodes sent them.
+    /// Number of nodes that sent the attempts.
     pub nodes: usize,
-    /// How many of these had been notified of this start.
+    /// Number of these nodes that had been notified of this start.
     pub notified_nodes: usize,
-    /// How many of the attempts the server answered, as far as their outcomes show.
+    /// Number of attempts that the server answered, as far as their outcomes show.
     pub answered: usize,
 }
 
 impl SlowStartWindow {
-    /// The attempts as a part of the budget.
+    /// The attempts as a fraction of the budget.
     pub fn load(&self) -> f64 {
         self.attempts as f64 / self.budget
     }
 }
 
-/// A send to a server that was draining or removed.
+/// A send to a server that was draining or had been removed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SendAfterDrain {
     /// Id of the server.
@@ -85,21 +86,22 @@
     pub node: u32,
     /// Time since the node was notified or counts as notified, in microseconds.
     pub elapsed: Micros,
-    /// Whether the node's own list had it.
+    /// Whether the node's own list showed that the server was draining or removed.
     pub in_own_list: bool,
 }
 
-/// How late nodes were notified that a server is draining or removed. Discovery had it, and could be reached, when the
-/// first node was notified.
+/// Delay until nodes were notified that a server is draining or removed. The delay is measured from the time at which
+/// the first node was notified, since discovery had the change and was reachable by then.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Notification {
-    /// The longest since then, of processes that began before the change counted as notified.
+    /// The longest delay of processes that started before the change counted as notified.
     pub longest_delay: Option<NotificationDelay>,
-    /// The longest of processes that began later, since their start: they count as notified from their first moment.
+    /// The longest delay of processes that started later. It is measured from their start, since they count as notified
+    /// from then on.
     pub longest_after_start: Option<NotificationDelay>,
 }
 
-/// How long a node was not notified.
+/// Delay until a node was notified.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct NotificationDelay {
     /// The delay, in microseconds.
@@ -108,34 +110,35 @@
     pub node: u32,
 }
 
-/// A final answer and its deadline.
+/// Lateness of a final answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AnswerLateness {
-    /// How long after the request's deadline it was, in microseconds; negative before it.
+    /// Time after the deadline of the request, in microseconds; negative if the answer was earlier.
     pub lateness_us: i64,
-    /// The client's name for the request.
-    pub client_name: String,
+    /// Id that the client assigned to the request.
+    pub client_request_id: String,
 }
 
-/// Requests that were read, on whatever connection, and not answered in time, by what became of them.
+/// Requests that were read, on any connection, and not answered in time, by cause.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LostRequests {
-    /// The process went on past the time of its answer and never gave one.
+    /// The process ran past the time limit of the answer and never sent one.
     pub never_answered: u64,
-    /// The answer came after the time at which the request counts as lost.
+    /// The answer was sent after the time at which the request counts as lost.
     pub answered_too_late: u64,
     /// The node closed the connection without an answer.
     pub dropped: u64,
-    /// The process ended by itself and had not answered.
+    /// The process exited on its own before it answered.
     pub open_at_exit: u64,
-    /// The process was killed late in its shutdown and had not answered what came within it.
+    /// The process was killed late in its shutdown before it answered a request that was received during the shutdown.
     pub open_at_kill: u64,
-    /// Open where the trace of their process ends, and nothing shows why it ended. These do not count as lost.
+    /// The request was open at the end of the trace of its process, and nothing shows why the trace ends. It does not
+    /// count as lost.
     pub undetermined: u64,
 }
 
 impl LostRequests {
-    /// All that are lost for certain.
+    /// Number of requests that were certainly lost.
     pub fn total(&self) -> u64 {
         self.never_answered
             + self.answered_too_late
@@ -145,124 +148,124 @@
     }
 }
 
-/// What an attempt is to its request.
+/// Role of an attempt in its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptKind {
     /// The request's first attempt.
     First,
-    /// An attempt after the outcome of those before it.
+    /// An attempt after all earlier attempts have ended.
     Retry,
-    /// An attempt beside one that has no outcome yet.
+    /// An attempt while an earlier one is still in flight.
     Hedge,
     /// A further attempt at the origin, deferred or not.
     OriginCall,
 }
 
-/// Attempts for clients that had departed.
+/// Attempts for clients that had disconnected.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct ClientDepartures {
-    /// Requests whose clients departed.
-    pub departures: u64,
-    /// Attempts that began after a departure.
+pub struct ClientDisconnects {
+    /// Number of requests whose clients disconnected.
+    pub disconnects: u64,
+    /// Number of attempts that began after the disconnect of their client.
     pub attempts_after: u64,
-    /// Those of them that began too late: each is a lost request.
+    /// Number of these attempts that began too late. Each is a lost request.
     pub lost: u64,
-    /// The latest of them.
-    pub latest: Option<AttemptAfterDeparture>,
+    /// The latest of these attempts.
+    pub latest: Option<AttemptAfterDisconnect>,
 }
 
-/// An attempt for a client that had departed.
+/// An attempt for a client that had disconnected.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct AttemptAfterDeparture {
+pub struct AttemptAfterDisconnect {
     /// Number of the sending node.
     pub node: u32,
     /// Id of the server.
     pub server: u32,
-    /// What the attempt is to its request.
+    /// Role of the attempt in its request.
     pub kind: AttemptKind,
-    /// The client's name for the request.
-    pub client_name: String,
-    /// Time since the departure, in microseconds.
+    /// Id that the client assigned to the request.
+    pub client_request_id: String,
+    /// Time since the disconnect, in microseconds.
     pub elapsed: Micros,
 }
 
-/// The deadlines that attempts stated to their servers.
+/// Deadlines that attempts stated to their servers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct StatedDeadlines {
-    /// How many were recorded.
+    /// Number of recorded deadlines.
     pub recorded: u64,
-    /// How many stated more than is left to the client and the slack.
+    /// Number of deadlines that exceeded the time left to the client by more than the slack.
     pub over_limit: u64,
-    /// The one that stated most beyond what was left.
+    /// The deadline that exceeded the time left by the most.
     pub worst: Option<StatedDeadline>,
 }
 
 /// A deadline that an attempt stated.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StatedDeadline {
-    /// How much longer it is than what was left to the client, in microseconds; negative where it is shorter.
+    /// Time by which it exceeded the time left to the client, in microseconds; negative if it was shorter.
     pub excess_us: i64,
     /// Number of the sending node.
     pub node: u32,
-    /// The client's name for the request.
-    pub client_name: String,
+    /// Id that the client assigned to the request.
+    pub client_request_id: String,
     /// Number of the attempt in the request, from 0.
     pub attempt: u16,
 }
 
-/// How soon restarted processes were ready.
+/// Time until restarted processes were ready.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Readiness {
-    /// Restarted processes of which the recording shows whether they were ready in time.
+    /// Number of restarted processes for which the recording shows whether they were ready in time.
     pub judged: u64,
-    /// Those of them that were not.
+    /// Number of these processes that were not ready in time.
     pub late: u64,
-    /// The process that took longest, ready or not.
+    /// The process that took longest, whether it became ready or not.
     pub slowest: Option<ReadinessDelay>,
-    /// Restarted processes that ended, or whose day ended, before their time was up.
+    /// Number of restarted processes that ended, or whose day ended, before their time limit.
     pub undetermined: u64,
 }
 
-/// How long a process took to be ready.
+/// Time that a process took to be ready.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReadinessDelay {
     /// Number of the node.
     pub node: u32,
-    /// The time, in microseconds; at least this where it was never ready.
+    /// The time in microseconds; a lower bound if the process never became ready.
     pub delay: Micros,
-    /// Whether it was ready in the end.
+    /// Whether the process became ready.
     pub became_ready: bool,
 }
 
-/// What a warm server of one kind can do.
+/// Capacity of a warm server of one kind.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Capacity {
-    /// Attempts that it answers in a second.
+    /// Attempts that it answers per second.
     pub attempts_per_s: f64,
-    /// Whether this was seen while servers of the kind had more to do than they could. Otherwise they can do more.
-    pub seen_busy: bool,
+    /// Whether this was observed while servers of the kind were saturated. Otherwise it is a lower bound.
+    pub is_saturated: bool,
 }
 
 /// Calls to discovery.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct DiscoveryCalls {
-    /// All calls.
+    /// Number of calls.
     pub total: u64,
-    /// Those that failed.
+    /// Number of failed calls.
     pub failed: u64,
 }
 
-/// Lines of a trace that could not be read.
+/// Trace lines that could not be parsed.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct BrokenLines {
-    /// How many there are.
+pub struct MalformedLines {
+    /// Number of these lines.
     pub count: u64,
-    /// The first of them.
+    /// The first of these lines.
     pub first: String,
 }
 
-impl BrokenLines {
-    /// Counts one more.
+impl MalformedLines {
+    /// Counts a line.
     pub(super) fn add(&mut self, line: &str) {
         if self.count == 0 {
             self.first = line.into();
@@ -271,25 +274,25 @@
     }
 }
 
-/// Something that the rules depend on and a recording does not show.
+/// Data that the rules depend on and a recording lacks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Gap {
-    /// No trace tells the work of a request.
-    WorkOfRequests,
-    /// No trace tells when discovery itself had a change.
-    TimeAtDiscovery,
-    /// No trace tells of a new configuration.
+    /// No trace contains the work of a request.
+    RequestWork,
+    /// No trace contains the time at which discovery itself had a change.
+    DiscoveryUpdateTime,
+    /// No trace contains changes of the configuration.
     Reconfiguration,
-    /// No trace tells when bytes came to the node's machine and left it.
-    TimeOfBytes,
-    /// The traces do not have the deadlines that attempts state.
+    /// No trace contains the times at which bytes arrived at and left the node's machine.
+    ByteTransferTime,
+    /// The traces lack the deadlines that attempts stated.
     StatedDeadlines,
-    /// The traces do not tell when a client's close was read.
-    TimeOfDeparture,
-    /// The traces do not tell whether a node closed a connection itself.
+    /// The traces lack the times at which the close of a client was read.
+    DisconnectTime,
+    /// The traces do not show whether a node closed a connection itself.
     DroppedRequests,
-    /// The traces do not tell when a process was launched and answered `PING`.
-    TimeOfReadiness,
-    /// The traces do not tell by what a process ended.
-    EndOfProcess,
+    /// The traces do not show when a process was launched and first answered `PING`.
+    ReadinessTime,
+    /// The traces do not show why a process ended.
+    ProcessEndCause,
 }
--- a/crates/acceptance/src/margins/mod.rs
+++ b/crates/acceptance/src/margins/mod.rs
@@ -1,10 +1,11 @@
-//! How far a run of the fleet test stayed from the limits of its rules, from the traces of its nodes: load on servers
-//! that are warming up, sends to servers that are draining, delay of notifications, lost requests, attempts for clients
-//! that had departed, deadlines that attempts state, and readiness of restarted processes.
+//! Computes the margins of a run of the fleet test, which are its distances from the limits of the test's rules, from
+//! the traces of its nodes. The rules limit the load on servers that are warming up, sends to servers that are
+//! draining, the delay of notifications, lost requests, attempts for clients that had disconnected, the deadlines that
+//! attempts state, and the time until restarted processes are ready.
 //!
-//! [`measure`] reads the logs of a run into a recording, evaluates the recording and returns [`Margins`]. Imports go in
-//! that order: `process` fills the `recording`, the evaluation reads it, `report` and `table` print the `findings`;
-//! `limits` and `findings` import nothing of the others.
+//! [`measure`] reads the logs of a run into a recording, evaluates the recording and returns [`Margins`]. Dependencies
+//! follow that order: `process` fills the `recording`, the evaluation reads it, `report` and `table` print the
+//! `findings`; `limits` and `findings` import none of the other modules.
 
 mod availability;
 mod capacity;
@@ -25,15 +26,16 @@
 use std::path::{Path, PathBuf};
 
 pub use self::findings::{
-    AnswerLateness, AttemptAfterDeparture, AttemptKind, BrokenLines, Capacity, ClientDepartures,
-    DiscoveryCalls, Gap, LostRequests, Margins, Notification, NotificationDelay, Readiness,
-    ReadinessDelay, SendAfterDrain, SlowStart, SlowStartWindow, StatedDeadline, StatedDeadlines,
+    AnswerLateness, AttemptAfterDisconnect, AttemptKind, Capacity, ClientDisconnects,
+    DiscoveryCalls, Gap, LostRequests, MalformedLines, Margins, Notification, NotificationDelay,
+    Readiness, ReadinessDelay, SendAfterDrain, SlowStart, SlowStartWindow, StatedDeadline,
+    StatedDeadlines,
 };
 use self::process::ProcessRecorder;
 use self::recording::Recording;
-pub use self::table::{LEGEND, TABLE_HEAD};
+pub use self::table::{LEGEND, TABLE_HEADER};
 
-/// Why a run has no margins.
+/// Why the margins of a run cannot be computed.
 #[derive(Debug, thiserror::Error)]
 pub enum MarginsError {
     /// A file or folder cannot be read.
@@ -44,7 +46,7 @@
         /// The operating system's error.
         source: std::io::Error,
     },
-    /// None of the files holds a trace.
+    /// None of the files contains a trace.
     #[error("no trace in {}: run the day with deploy/trace.toml and --logs", folder.display())]
     NoTrace {
         /// The folder of the run.
@@ -55,7 +57,7 @@
 /// Measures the margins of a run whose logs are in a folder, one file for each node.
 ///
 /// # Errors
-/// Where a log cannot be read or none holds a trace.
+/// If a log cannot be read or no log contains a trace.
 pub fn measure(folder: &Path) -> Result<Margins, MarginsError> {
     let mut recording = Recording::default();
     for path in log_paths(folder)? {
@@ -73,7 +75,7 @@
     }
 }
 
-/// The files of a folder, by name.
+/// The files of a folder, sorted by name.
 fn log_paths(folder: &Path) -> Result<Vec<PathBuf>, MarginsError> {
     let unreadable = |source| MarginsError::Unreadable {
         path: folder.into(),
--- a/crates/acceptance/src/margins/notification.rs
+++ b/crates/acceptance/src/margins/notification.rs
@@ -1,21 +1,23 @@
-//! How late nodes were notified that a server is draining or removed, and the latest send to one.
+//! Evaluates the delay until nodes were notified that a server is draining or removed, and the latest send to such a
+//! server.
 
 use super::findings::{Notification, NotificationDelay, SendAfterDrain};
-use super::limits::NOTIFIED_AFTER;
+use super::limits::COUNTS_AS_NOTIFIED_AFTER_US;
 use super::recording::Recording;
 
-/// The latest send to a server that its node was notified, or counts as notified, is draining or removed.
+/// The latest send to a server after its node was notified, or counted as notified, that the server is draining or
+/// removed.
 pub(super) fn latest_send_after_drain(recording: &Recording) -> Option<SendAfterDrain> {
     let mut worst: Option<SendAfterDrain> = None;
     for send in &recording.sends {
         let since_own_list = send
             .unready_since
             .map(|since| send.at.saturating_sub(since));
-        // The first node to be notified shows when discovery had it.
+        // The first notification of any node shows when discovery had the change.
         let availability = &recording.availability;
         let first = availability.first_unready_notification(send.server, send.at);
         let since_counted_as_notified =
-            first.and_then(|first| send.at.checked_sub(first + NOTIFIED_AFTER));
+            first.and_then(|first| send.at.checked_sub(first + COUNTS_AS_NOTIFIED_AFTER_US));
         let Some(elapsed) = since_own_list.max(since_counted_as_notified) else {
             continue;
         };
@@ -31,8 +33,8 @@
     worst
 }
 
-/// The longest that nodes were not notified. A new process gets no new time: the change counts as notified when it
-/// does for all.
+/// The longest delays until nodes were notified. A process that starts later gets no extra time: a change counts as
+/// notified at the same time for all processes.
 pub(super) fn evaluate(recording: &Recording) -> Notification {
     let mut found = Notification::default();
     for notification in &recording.unready_notifications {
@@ -41,7 +43,8 @@
             .availability
             .first_unready_notification(notification.server, at)
             .map_or(at, |first| first.min(at));
-        let (longest, since) = if notification.process_started < first + NOTIFIED_AFTER {
+        let (longest, since) = if notification.process_started < first + COUNTS_AS_NOTIFIED_AFTER_US
+        {
             (&mut found.longest_delay, first)
         } else {
             (&mut found.longest_after_start, notification.process_started)
--- a/crates/acceptance/src/margins/process.rs
+++ b/crates/acceptance/src/margins/process.rs
@@ -1,4 +1,4 @@
-//! Follows one node's trace, line by line, and records what the evaluation needs.
+//! Reads the trace of one node line by line and records the data that the evaluation needs.
 
 use std::collections::HashMap;
 
@@ -9,42 +9,44 @@
     RecordedDeadline, RecordedProcess, RecordedRequest, RecordedSend, Recording, RequestState,
     UnreadyNotification,
 };
-use crate::trace::{self, BrokenLine, ListedServer, Micros, RuleParameters, TraceEvent, TraceLine};
+use crate::trace::{
+    self, ListedServer, MalformedLine, Micros, RuleParameters, TraceEvent, TraceLine,
+};
 
-/// An attempt, as the lines of one process name it.
+/// Id of an attempt within the trace of one process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct AttemptId {
     request: u64,
     attempt: u16,
 }
 
-/// The state of one process of a node, as far as its log was read. A log may hold several, one after another.
+/// State of one process of a node up to the last line read. A log may contain several processes, one after another.
 #[derive(Debug, Default)]
 pub(super) struct ProcessRecorder {
     node: u32,
     started: Micros,
     origin_kind: i64,
-    /// Index of the process among all that are recorded, once a line of it was read.
+    /// Index of the process in the recording, once a line of it was read.
     process: Option<usize>,
     list: EndpointList,
-    /// Indices of the requests among all recorded ones.
+    /// Indices of the requests in the recording, by request number.
     requests: HashMap<u64, usize>,
-    /// Indices of the attempts in flight among all recorded sends.
+    /// Indices of the attempts in flight in the recorded sends.
     attempts_in_flight: HashMap<AttemptId, usize>,
 }
 
 impl ProcessRecorder {
-    /// Takes the next line of a log, part of a trace or not.
+    /// Reads the next line of a log, which may or may not be a trace line.
     pub(super) fn read_line(&mut self, text: &str, recording: &mut Recording) {
         match trace::read_line(text) {
             Ok(Some(line)) => self.record(&line, recording),
             Ok(None) => {}
-            Err(BrokenLine { line }) => recording.broken_lines.add(line.trim_end()),
+            Err(MalformedLine { line }) => recording.malformed_lines.add(line.trim_end()),
         }
     }
 
     fn record(&mut self, line: &TraceLine<'_>, recording: &mut Recording) {
-        // A list ends where another event begins.
+        // Any other event ends the list.
         if !matches!(line.event, TraceEvent::ListedServer(_)) {
             self.end_list(recording);
         }
@@ -84,15 +86,15 @@
         }
     }
 
-    /// Takes a line about a request or an attempt.
+    /// Records a line about a request or an attempt.
     fn record_request_line(&mut self, line: &TraceLine<'_>, recording: &mut Recording) {
         match line.event {
             TraceEvent::RequestReceived {
                 request,
                 remaining,
-                client_name,
+                client_request_id,
                 ..
-            } => self.record_request(line.at, request, remaining, client_name, recording),
+            } => self.record_request(line.at, request, remaining, client_request_id, recording),
             TraceEvent::AttemptSent {
                 request,
                 attempt,
@@ -113,9 +115,9 @@
                 outcome,
                 lateness_us,
             } => self.record_end(line.at, request, outcome, lateness_us, recording),
-            TraceEvent::ClientDeparted { request } => {
+            TraceEvent::ClientDisconnected { request } => {
                 if let Some(request) = self.request(request, recording) {
-                    request.depart(line.at);
+                    request.record_disconnect(line.at);
                 }
             }
             TraceEvent::RequestDropped { request } => {
@@ -138,7 +140,7 @@
         }
     }
 
-    /// Begins anew with another process, which replaces the one before it, if there was one.
+    /// Starts recording a new process, which replaces the previous one if there was one.
     fn restart(&mut self, at: Micros, parameters: RuleParameters, recording: &mut Recording) {
         let previous = self
             .process
@@ -157,7 +159,8 @@
         recording.parameters = Some(parameters);
     }
 
-    /// The process, which a log that begins in the middle of a trace does not introduce.
+    /// The recorded process. It is created here if needed, because a log that begins in the middle of a trace has no
+    /// start line.
     fn process<'a>(&mut self, at: Micros, recording: &'a mut Recording) -> &'a mut RecordedProcess {
         let index = *self.process.get_or_insert(recording.processes.len());
         if index == recording.processes.len() {
@@ -192,7 +195,7 @@
         }
     }
 
-    /// Servers that a complete list has not named are removed.
+    /// Ends the list and records servers missing from a complete list as removed.
     fn end_list(&mut self, recording: &mut Recording) {
         let removal = self.list.end();
         for server in removal.servers {
@@ -243,17 +246,17 @@
         at: Micros,
         id: u64,
         remaining: Micros,
-        client_name: &str,
+        client_request_id: &str,
         recording: &mut Recording,
     ) {
         self.requests.insert(id, recording.requests.len());
         recording.requests.push(RecordedRequest {
             process: self.process.unwrap_or_default(),
-            client_name: client_name.into(),
+            client_request_id: client_request_id.into(),
             received_at: at,
             deadline: at + remaining,
             state: RequestState::Open,
-            departed_at: None,
+            disconnected_at: None,
         });
     }
 
@@ -319,13 +322,13 @@
             return;
         };
         if request.state == RequestState::Dropped {
-            return; // The node calls it departed, too.
+            return; // The node also reports a dropped request as `gone`.
         }
         if outcome == "gone" {
-            let is_told = request.departed_at.is_some();
-            request.state = RequestState::Departed;
-            request.depart(at);
-            recording.diagnostics.lacks_departures |= !is_told;
+            let is_recorded = request.disconnected_at.is_some();
+            request.state = RequestState::Disconnected;
+            request.record_disconnect(at);
+            recording.diagnostics.lacks_disconnects |= !is_recorded;
         } else {
             request.state = RequestState::Answered { lateness_us };
         }
@@ -334,8 +337,8 @@
 
 fn record_start(at: Micros, server: ListedServer, recording: &mut Recording) {
     let starts = recording.starts.entry(server.id).or_default();
-    let first_heard = starts.entry(server.started).or_insert(at);
-    *first_heard = (*first_heard).min(at);
+    let first_notified = starts.entry(server.started).or_insert(at);
+    *first_notified = (*first_notified).min(at);
 }
 
 fn record_outcome(
@@ -352,7 +355,8 @@
             }
             recording.answers.entry(server).or_default().push(at);
         }
-        // Work to a warm server, whoever still waits, but no proof that it could be done in time.
+        // The attempt caused work on a warm server even if nobody waited for it, but does not show that the server
+        // could finish it in time.
         "TimedOut" | "Cancelled" => recording.answers.entry(server).or_default().push(at),
         "Full" => recording.rejections.entry(server).or_default().push(at),
         _ => {}
--- a/crates/acceptance/src/margins/recording.rs
+++ b/crates/acceptance/src/margins/recording.rs
@@ -1,42 +1,42 @@
-//! What was seen in all traces of a run, in the form that the evaluation needs.
+//! The events of all traces of a run, in the form that the evaluation needs.
 
 use std::collections::{BTreeMap, HashMap};
 
 use super::availability::Availability;
-use super::findings::{AttemptKind, BrokenLines, DiscoveryCalls};
-use super::limits::NOTIFIED_AFTER;
+use super::findings::{AttemptKind, DiscoveryCalls, MalformedLines};
+use super::limits::COUNTS_AS_NOTIFIED_AFTER_US;
 use crate::trace::{Micros, RuleParameters};
 
 /// A process of a node.
 #[derive(Debug)]
 pub(super) struct RecordedProcess {
     pub(super) node: u32,
-    /// When it was launched, or its trace began where that does not tell.
+    /// Time of its launch, or of the start of its trace if the trace does not contain the launch time.
     pub(super) launched: Micros,
-    /// Whether its node had a process before.
+    /// Whether its node had an earlier process.
     pub(super) is_restart: bool,
-    /// Whether its node had another process after it.
+    /// Whether its node had a later process.
     pub(super) is_replaced: bool,
-    /// When it was ready, or had a ready server in its list where its trace does not tell.
+    /// Time at which it was ready, or first had a ready server in its list if its trace does not contain the former.
     pub(super) ready_at: Option<Micros>,
-    /// When it was asked to shut down.
+    /// Time at which it was asked to shut down.
     pub(super) shutdown_requested_at: Option<Micros>,
-    /// Whether it ended by itself.
+    /// Whether it exited on its own.
     pub(super) has_exited: bool,
-    /// When its last line was written.
+    /// Time at which its last line was written.
     pub(super) last_line: Micros,
 }
 
-/// What became of a request, as far as its node tells.
+/// State of a request according to the trace of its node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestState {
-    /// It has no final answer.
+    /// The request has no final answer.
     Open,
-    /// It has its final answer, so long after its deadline.
+    /// The request has its final answer. `lateness_us` is the time after its deadline.
     Answered { lateness_us: i64 },
-    /// Its client has departed.
-    Departed,
-    /// The node closed its connection.
+    /// The client has disconnected.
+    Disconnected,
+    /// The node closed the connection of the request.
     Dropped,
 }
 
@@ -45,19 +45,19 @@
 pub(super) struct RecordedRequest {
     /// Index of the process.
     pub(super) process: usize,
-    pub(super) client_name: String,
+    pub(super) client_request_id: String,
     pub(super) received_at: Micros,
     pub(super) deadline: Micros,
     pub(super) state: RequestState,
-    /// When the node noticed that the client had departed.
-    pub(super) departed_at: Option<Micros>,
+    /// Time at which the node noticed that the client had disconnected.
+    pub(super) disconnected_at: Option<Micros>,
 }
 
 impl RecordedRequest {
-    /// The client departed, as one of possibly several lines tells.
-    pub(super) fn depart(&mut self, at: Micros) {
-        let earliest = self.departed_at.map_or(at, |earlier| earlier.min(at));
-        self.departed_at = Some(earliest);
+    /// Records a disconnect of the client. If several lines report it, the earliest one counts.
+    pub(super) fn record_disconnect(&mut self, at: Micros) {
+        let earliest = self.disconnected_at.map_or(at, |earlier| earlier.min(at));
+        self.disconnected_at = Some(earliest);
     }
 }
 
@@ -67,12 +67,12 @@
     pub(super) at: Micros,
     pub(super) server: u32,
     pub(super) node: u32,
-    /// Index of the request, if its line was seen.
+    /// Index of the request, if the trace contains it.
     pub(super) request: Option<usize>,
     pub(super) kind: AttemptKind,
-    /// The last start of the server that the node's list had; 0 for long ago.
+    /// Last start of the server in the node's list; 0 if that was long ago.
     pub(super) known_start: Micros,
-    /// When the node's list first had the server not ready, if it did.
+    /// Time since which the node's list had the server as not ready, if it did.
     pub(super) unready_since: Option<Micros>,
     /// Whether the server answered it, as far as its outcome shows.
     pub(super) answered: bool,
@@ -85,73 +85,73 @@
     /// Index of the request.
     pub(super) request: usize,
     pub(super) attempt: u16,
-    /// How long the server is told that the node will wait.
+    /// Time that the node will wait for the server, as stated to the server.
     pub(super) stated: Micros,
 }
 
-/// A node's notification that a server is not ready any more.
+/// A notification of a node that a server is no longer ready.
 #[derive(Debug)]
 pub(super) struct UnreadyNotification {
     pub(super) server: u32,
     pub(super) at: Micros,
     pub(super) node: u32,
-    /// When the node's process started.
+    /// Start time of the node's process.
     pub(super) process_started: Micros,
 }
 
-/// The last start of a server before some send to it.
+/// The last start of a server before a send to it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct KnownStart {
-    /// When it started; 0 for long ago.
+    /// Time of the start; 0 if that was long ago.
     pub(super) at: Micros,
-    /// Whether the sending node knew of it or counts as notified.
+    /// Whether the sending node knew of the start or counts as notified of it.
     pub(super) is_node_notified: bool,
 }
 
-/// Times of events, for each server.
+/// Times of events by server id.
 pub(super) type TimesByServer = HashMap<u32, Vec<Micros>>;
 
-/// All that was seen in one run.
+/// All recorded events of one run.
 #[derive(Debug, Default)]
 pub(super) struct Recording {
-    /// The settings, as the process that was read last has them.
+    /// The settings of the process that was read last.
     pub(super) parameters: Option<RuleParameters>,
     pub(super) processes: Vec<RecordedProcess>,
     pub(super) requests: Vec<RecordedRequest>,
     pub(super) sends: Vec<RecordedSend>,
     pub(super) deadlines: Vec<RecordedDeadline>,
-    /// The kind of each server.
+    /// Kind of each server.
     pub(super) kinds: HashMap<u32, i64>,
-    /// The starts of each server that discovery reported, with the time at which a node first heard of each.
+    /// Starts of each server that discovery reported, each with the time at which the first node was notified of it.
     pub(super) starts: HashMap<u32, BTreeMap<Micros, Micros>>,
-    /// When servers were ready and when not, as all nodes together were notified.
+    /// Periods in which servers were not ready, from the notifications of all nodes.
     pub(super) availability: Availability,
-    /// What each node was notified of servers that are not ready, by other than a saved list.
+    /// Notifications of all nodes that a server is no longer ready. Cached lists are not notifications.
     pub(super) unready_notifications: Vec<UnreadyNotification>,
-    /// When servers ended an attempt that was work to them.
+    /// Times at which attempts ended that had caused work on the server.
     pub(super) answers: TimesByServer,
-    /// When servers rejected an attempt.
+    /// Times at which servers rejected an attempt.
     pub(super) rejections: TimesByServer,
-    /// Final answers, by how they ended.
+    /// Number of ended requests, by outcome.
     pub(super) outcomes: BTreeMap<String, u64>,
     pub(super) discovery_calls: DiscoveryCalls,
-    pub(super) broken_lines: BrokenLines,
+    pub(super) malformed_lines: MalformedLines,
     pub(super) diagnostics: DiagnosticLines,
 }
 
-/// Which of the lines that a node may leave out the traces have, or lack.
+/// Which of the optional lines the traces contain.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct DiagnosticLines {
     pub(super) readiness: bool,
     pub(super) shutdown_or_exit: bool,
-    /// Whether a departure was only told by the end of its request.
-    pub(super) lacks_departures: bool,
+    /// Whether a disconnect was recorded only by the end of its request.
+    pub(super) lacks_disconnects: bool,
     pub(super) dropped: bool,
     pub(super) deadline: bool,
 }
 
 impl Recording {
-    /// Sorts all events by time, as the look-ups below need them.
+    /// Sorts all events by time, as the lookups below require.
     pub(super) fn sort(&mut self) {
         for times in [&mut self.answers, &mut self.rejections] {
             times.values_mut().for_each(|times| times.sort_unstable());
@@ -164,24 +164,25 @@
         self.kinds.get(&server).copied().unwrap_or(-1)
     }
 
-    /// When the last line of all traces was written.
+    /// Time of the last line of all traces.
     pub(super) fn end_of_day(&self) -> Micros {
         let last_lines = self.processes.iter().map(|process| process.last_line);
         last_lines.max().unwrap_or(0)
     }
 
-    /// The last start of a send's server before the send.
+    /// The last start of the server of a send before the send.
     pub(super) fn start_before(&self, send: &RecordedSend) -> KnownStart {
         let starts = self.starts.get(&send.server);
         let last = starts.and_then(|starts| starts.range(..=send.at).next_back());
-        let (start, first_heard) = last.map_or((0, 0), |(start, heard)| (*start, *heard));
+        let (start, first_notified) = last.map_or((0, 0), |(start, notified)| (*start, *notified));
         KnownStart {
             at: start,
-            is_node_notified: send.known_start >= start || send.at >= first_heard + NOTIFIED_AFTER,
+            is_node_notified: send.known_start >= start
+                || send.at >= first_notified + COUNTS_AS_NOTIFIED_AFTER_US,
         }
     }
 
-    /// The last start of a server that discovery reported; 0 where there is none.
+    /// The last start of a server that discovery reported; 0 if there is none.
     pub(super) fn last_start(&self, server: u32) -> Micros {
         let starts = self.starts.get(&server);
         let last = starts.and_then(|starts| starts.keys().next_back());
--- a/crates/acceptance/src/margins/report.rs
+++ b/crates/acceptance/src/margins/report.rs
@@ -1,17 +1,17 @@
-//! The margins of a run in words.
+//! Prints the margins of a run as text.
 
 use std::fmt::{self, Display, Formatter};
 
 use super::findings::{
-    AnswerLateness, AttemptAfterDeparture, AttemptKind, Capacity, ClientDepartures, Gap,
+    AnswerLateness, AttemptAfterDisconnect, AttemptKind, Capacity, ClientDisconnects, Gap,
     LostRequests, Margins, Notification, Readiness, SendAfterDrain, SlowStart, SlowStartWindow,
     StatedDeadlines,
 };
-use super::limits::{STATED_DEADLINE_SLACK, is_blamed_on_notified};
+use super::limits::{STATED_DEADLINE_SLACK_US, is_mostly_from_notified_nodes};
 use super::table::{seconds, signed_seconds};
 
-/// So many of the restarted servers are listed, the most loaded first.
-const LISTED_SERVERS: usize = 10;
+/// Maximum number of restarted servers that are listed, highest load first.
+const MAX_LISTED_SERVERS: usize = 10;
 
 impl Display for Margins {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
@@ -27,22 +27,22 @@
             writeln!(f, "final answer: {answer}")?;
         }
         writeln!(f, "lost requests: {}", self.lost_requests)?;
-        writeln!(f, "client departure: {}", self.client_departures)?;
+        writeln!(f, "client disconnect: {}", self.client_disconnects)?;
         if self.stated_deadlines.recorded > 0 {
             writeln!(f, "deadline: {}", self.stated_deadlines)?;
         }
         writeln!(f, "readiness: {}", self.readiness)?;
         writeln!(
             f,
-            "requests by their end: {:?}; discovery: {} calls, {} failed",
+            "requests by outcome: {:?}; discovery: {} calls, {} failed",
             self.outcomes, self.discovery_calls.total, self.discovery_calls.failed
         )?;
-        let broken = &self.broken_lines;
-        if broken.count > 0 {
+        let malformed = &self.malformed_lines;
+        if malformed.count > 0 {
             writeln!(
                 f,
-                "{} lines of the traces are broken, the first: {}",
-                broken.count, broken.first
+                "{} trace lines are malformed, the first: {}",
+                malformed.count, malformed.first
             )?;
         }
         for gap in &self.gaps {
@@ -54,35 +54,35 @@
 
 impl Display for Capacity {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        let certainty = if self.seen_busy {
-            "while full"
+        let certainty = if self.is_saturated {
+            "measured while saturated"
         } else {
-            "at least, never seen full"
+            "lower bound, never saturated"
         };
         let rate = self.attempts_per_s;
         write!(
             f,
-            "a warm server answers {rate:.1} attempts a second, {certainty}"
+            "a warm server answers {rate:.1} attempts per second ({certainty})"
         )
     }
 }
 
 impl Display for SlowStart {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        for window in self.worst_windows.iter().take(LISTED_SERVERS) {
+        for window in self.worst_windows.iter().take(MAX_LISTED_SERVERS) {
             writeln!(f, "slow start: {window}")?;
         }
-        let others = self.worst_windows.len().saturating_sub(LISTED_SERVERS);
+        let others = self.worst_windows.len().saturating_sub(MAX_LISTED_SERVERS);
         if others > 0 {
             writeln!(
                 f,
-                "slow start: {others} more restarted servers, less loaded"
+                "slow start: {others} more restarted servers with a lower load"
             )?;
         }
         if self.starts_of_unknown_capacity > 0 {
             writeln!(
                 f,
-                "slow start: {} restarted servers of kinds of which no warm server answered are left out",
+                "slow start: {} restarted servers are left out because no warm server of their kind answered",
                 self.starts_of_unknown_capacity
             )?;
         }
@@ -106,7 +106,8 @@
             self.notified_nodes,
             self.answered
         )?;
-        if self.load() > 1.0 && is_blamed_on_notified(self.notified_attempts, self.attempts) {
+        if self.load() > 1.0 && is_mostly_from_notified_nodes(self.notified_attempts, self.attempts)
+        {
             write!(f, "; over the budget")?;
         }
         Ok(())
@@ -116,13 +117,13 @@
 impl Display for SendAfterDrain {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let since = if self.in_own_list {
-            "its list said so"
+            "its list showed the drain or removal"
         } else {
-            "it counts as notified"
+            "it counted as notified of the drain or removal"
         };
         write!(
             f,
-            "node {} sends to server {} {:.3} s after {since}",
+            "node {} sent to server {} {:.3} s after {since}",
             self.node,
             self.server,
             seconds(self.elapsed)
@@ -135,7 +136,7 @@
         if let Some(longest) = self.longest_delay {
             writeln!(
                 f,
-                "notification: node {} was notified {:.3} s after the first that a server is not ready",
+                "notification: node {} was notified that a server is not ready {:.3} s after the first node",
                 longest.node,
                 seconds(longest.delay)
             )?;
@@ -143,8 +144,8 @@
         if let Some(longest) = self.longest_after_start {
             writeln!(
                 f,
-                "notification: a later process of node {}, which counts as notified from its start, was notified after \
-                 {:.3} s",
+                "notification: a later process of node {}, which counts as notified from its start, was notified {:.3} s after \
+                 its start",
                 longest.node,
                 seconds(longest.delay)
             )?;
@@ -158,7 +159,7 @@
         write!(
             f,
             "request {} {:.3} s after its deadline",
-            self.client_name,
+            self.client_request_id,
             signed_seconds(self.lateness_us)
         )
     }
@@ -168,8 +169,8 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{} never answered, {} answered too late, {} whose connection the node closed, {} open when their process \
-             ended by itself, {} when it was killed in its shutdown; not shown whether lost: {} open at the end of a trace",
+            "{} never answered, {} answered too late, {} dropped when the node closed their connection, {} open when their \
+             process exited, {} open when it was killed during shutdown; undetermined: {} open at the end of a trace",
             self.never_answered,
             self.answered_too_late,
             self.dropped,
@@ -191,12 +192,12 @@
     }
 }
 
-impl Display for ClientDepartures {
+impl Display for ClientDisconnects {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{} requests whose clients departed, {} attempts after it, {} of them too late (lost requests)",
-            self.departures, self.attempts_after, self.lost
+            "{} requests whose clients disconnected, {} attempts after that, {} of them too late (lost requests)",
+            self.disconnects, self.attempts_after, self.lost
         )?;
         if let Some(latest) = &self.latest {
             write!(f, "; {latest}")?;
@@ -205,13 +206,13 @@
     }
 }
 
-impl Display for AttemptAfterDeparture {
+impl Display for AttemptAfterDisconnect {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "the latest a {} of request {} from node {} to server {}, {:.3} s after",
+            "the latest: {} of request {} from node {} to server {}, {:.3} s after the disconnect",
             self.kind,
-            self.client_name,
+            self.client_request_id,
             self.node,
             self.server,
             seconds(self.elapsed)
@@ -223,18 +224,18 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{} attempts, {} state over {:.2} s more than is left",
+            "{} attempts, {} stated a deadline over {:.2} s beyond the time left",
             self.recorded,
             self.over_limit,
-            seconds(STATED_DEADLINE_SLACK)
+            seconds(STATED_DEADLINE_SLACK_US)
         )?;
         if let Some(worst) = &self.worst {
             write!(
                 f,
-                "; the most {:.3} s, attempt {} of request {} from node {}",
+                "; the largest excess: {:.3} s, attempt {} of request {} from node {}",
                 signed_seconds(worst.excess_us),
                 worst.attempt,
-                worst.client_name,
+                worst.client_request_id,
                 worst.node
             )?;
         }
@@ -246,18 +247,18 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{} of {} restarted processes late, {} ended or were recorded too short to tell",
+            "{} of {} restarted processes late, {} undetermined because they ended or the recording was too short",
             self.late, self.judged, self.undetermined
         )?;
         if let Some(slowest) = self.slowest {
-            let how = if slowest.became_ready {
+            let outcome = if slowest.became_ready {
                 "was ready after"
             } else {
                 "was not ready for"
             };
             write!(
                 f,
-                "; the slowest, of node {}, {how} {:.3} s",
+                "; the slowest, on node {}, {outcome} {:.3} s",
                 slowest.node,
                 seconds(slowest.delay)
             )?;
@@ -269,35 +270,35 @@
 impl Display for Gap {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Gap::WorkOfRequests => {
-                "the work of a request: in slow start each attempt counts as one of mean work"
+            Gap::RequestWork => {
+                "the work of a request: in slow start each attempt counts as mean work"
             }
-            Gap::TimeAtDiscovery => {
-                "when discovery had a change and could be reached: the first node to be notified stands for it, so \
+            Gap::DiscoveryUpdateTime => {
+                "when discovery had a change and was reachable: the first notification of any node is used instead, so \
                  delays are lower bounds"
             }
             Gap::Reconfiguration => {
-                "when a new configuration came: that a change counts as notified 4 s after SIGHUP is not measured"
+                "when a new configuration arrived: the rule that a change counts as notified 4 s after SIGHUP is not checked"
             }
-            Gap::TimeOfBytes => {
-                "when bytes came and went: requests count from when they were read, attempts from when their connection \
-                 had them, answers from when they were decided"
+            Gap::ByteTransferTime => {
+                "when bytes arrived and left: requests count from when they were read, attempts from when they were handed \
+                 to a connection, answers from when they were decided"
             }
             Gap::StatedDeadlines => "the deadlines that attempts state (no `deadline` lines)",
-            Gap::TimeOfDeparture => {
-                "when a client's close was read (no `departed` lines): departures count from when the node had handled \
-                 them, so lateness is a lower bound"
+            Gap::DisconnectTime => {
+                "when the close of a client was read (no `departed` lines): disconnects count from when the node had \
+                 handled them, so lateness is a lower bound"
             }
             Gap::DroppedRequests => {
-                "whether a node closed a connection under a request itself (no `dropped` lines): such a request looks \
-                 like a client's departure, or open"
+                "whether a node closed the connection of a pending request itself (no `dropped` lines): such a request \
+                 looks like a client disconnect or an open request"
             }
-            Gap::TimeOfReadiness => {
-                "when a process was launched and first answered PING (no `ready` lines): readiness counts from the \
+            Gap::ReadinessTime => {
+                "when a process was launched and first answered PING (no `ready` lines): readiness is measured from the \
                  first line of its trace to its first ready server"
             }
-            Gap::EndOfProcess => {
-                "by what a process ended (no `terminate` or `exit` lines): what was open at its end is not judged"
+            Gap::ProcessEndCause => {
+                "why a process ended (no `terminate` or `exit` lines): requests that were open at its end are undetermined"
             }
         })
     }
--- a/crates/acceptance/src/margins/slow_start.rs
+++ b/crates/acceptance/src/margins/slow_start.rs
@@ -1,4 +1,4 @@
-//! The load on restarted servers while they warmed up, summed over all nodes, against the slow-start budget.
+//! Compares the load on restarted servers while they warmed up, summed over all nodes, with the slow-start budget.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -8,7 +8,7 @@
 use super::recording::{RecordedSend, Recording};
 use crate::trace::{Micros, RuleParameters};
 
-/// The worst window of each start of a server.
+/// Finds the worst window of each start of a server.
 pub(super) fn evaluate(
     recording: &Recording,
     parameters: &RuleParameters,
@@ -43,7 +43,7 @@
     found
 }
 
-/// The windows of one server in which it was warming up.
+/// The windows in which one server was warming up.
 struct WarmUpWindows<'a> {
     recording: &'a Recording,
     parameters: &'a RuleParameters,
@@ -52,7 +52,7 @@
 }
 
 impl<'a> WarmUpWindows<'a> {
-    /// How many starts of the server were followed by a send while it warmed up.
+    /// Number of starts of the server that were followed by a send while it warmed up.
     fn starts(&self) -> usize {
         let starts = (0..self.sends.len()).filter_map(|last| self.ending_with(last));
         starts
@@ -61,7 +61,8 @@
             .len()
     }
 
-    /// For each start the window that came nearest to the budget, of those that the notified nodes answer for.
+    /// For each start, the window that came closest to the budget, among the windows that count against the notified
+    /// nodes.
     fn worst_of_each_start(&self, capacity: &Capacity) -> Vec<SlowStartWindow> {
         let mut worst: BTreeMap<Micros, SlowStartWindow> = BTreeMap::new();
         for last in 0..self.sends.len() {
@@ -75,14 +76,14 @@
                 continue;
             }
             let notified_attempts = window.notified_sends(self.recording).count();
-            if limits::is_blamed_on_notified(notified_attempts, window.sends.len()) {
+            if limits::is_mostly_from_notified_nodes(notified_attempts, window.sends.len()) {
                 worst.insert(window.start, self.describe(&window, budget));
             }
         }
         worst.into_values().collect()
     }
 
-    /// The window that ends with one of the sends, if the server was warming up then.
+    /// The window that ends with the send at index `last`, if the server was warming up at that time.
     fn ending_with(&self, last: usize) -> Option<Window<'a>> {
         let at = self.sends[last].at;
         let start = self.recording.start_before(self.sends[last]).at;
@@ -119,34 +120,35 @@
     }
 }
 
-/// The sends to a server that is warming up in the time that the settings name.
+/// The sends to a warming-up server in a window of the length given in the settings.
 struct Window<'a> {
-    /// When the server started.
+    /// Start time of the server.
     start: Micros,
-    /// How long after the server's start the window ends.
+    /// Time from the start of the server to the end of the window.
     age: Micros,
     sends: &'a [&'a RecordedSend],
 }
 
 impl Window<'_> {
-    /// The attempts beyond which the server collapses.
+    /// Number of attempts beyond which the server collapses.
     fn budget(&self, parameters: &RuleParameters, capacity: &Capacity) -> f64 {
         let length = parameters.overload_window_us as Micros;
-        // A server never warms up slower than evenly over the stated time: its capacity is at least this.
+        // A server warms up at least linearly over the warm-up time of the settings, which gives a lower bound of its
+        // capacity.
         let middle = self.age.saturating_sub(length / 2) as f64 / parameters.warm_up_us;
         let warm_share =
             parameters.initial_capacity_share + (1.0 - parameters.initial_capacity_share) * middle;
-        let least = capacity.attempts_per_s * warm_share * length as f64 / US_PER_S;
-        // And it was able to do what it answered.
-        let possible = least.max(self.answered() as f64);
-        limits::slow_start_budget(parameters.overload_multiple * possible)
+        let min_capacity = capacity.attempts_per_s * warm_share * length as f64 / US_PER_S;
+        // The number of attempts that it answered is another lower bound.
+        let capacity_in_window = min_capacity.max(self.answered() as f64);
+        limits::slow_start_budget(parameters.overload_multiple * capacity_in_window)
     }
 
     fn answered(&self) -> usize {
         self.sends.iter().filter(|send| send.answered).count()
     }
 
-    /// Attempts from nodes that knew of the server's start or count as notified of it.
+    /// Attempts from nodes that knew of the start of the server or count as notified of it.
     fn notified_sends<'b>(
         &'b self,
         recording: &'b Recording,
--- a/crates/acceptance/src/margins/table.rs
+++ b/crates/acceptance/src/margins/table.rs
@@ -1,49 +1,50 @@
-//! The margins of a run as rows of a Markdown table: each rule's worst figure beside its limit.
+//! Prints the margins of a run as rows of a Markdown table: the worst value of each rule beside its limit.
 
 use super::findings::{Gap, Margins};
 use super::limits::{
-    ANSWER_LOST_AFTER, DEPARTURE_GRACE, NOTIFIED_AFTER, READY_AT_LATEST, READY_LATE_SHARE,
-    SOCKET_ALLOWANCE, STATED_DEADLINE_SLACK,
+    ANSWER_LOST_AFTER_US, COUNTS_AS_NOTIFIED_AFTER_US, DISCONNECT_GRACE_US, MAX_LATE_READY_SHARE,
+    MAX_READY_TIME_US, SOCKET_ALLOWANCE_US, STATED_DEADLINE_SLACK_US,
 };
 use crate::trace::Micros;
 
-/// A margin that is a smaller part of its limit than this asks for a cause.
+/// A margin below this share of its limit is marked as narrow, and its cause has to be found.
 const NARROW_MARGIN: f64 = 0.25;
 
-/// The head of the table.
-pub const TABLE_HEAD: &str =
+/// Header of the table.
+pub const TABLE_HEADER: &str =
     "| run | rule | worst | limit | margin left |\n| --- | --- | --- | --- | --- |\n";
 
-/// What the rows of the table are.
+/// Explanation of the rows of the table.
 pub const LEGEND: &str = "\
-slow start: attempts that one restarted server received in the window of the settings, all nodes together, as a part of \
-the budget beyond which it collapses; of windows with over two thirds from nodes that had been notified of its start
-drain: the latest send to a server that is draining or removed, after its node was notified or counts as notified
-notification: the longest that a node was not notified of a drain or a removal, after the first node was
-final answer: the latest final answer, after its request's deadline
-lost requests: requests that were read and had no final answer, or none until half a second after their deadline
-client departure: the latest attempt that began after its client had closed its connection
-deadline: the most that an attempt stated to its server beyond the time that was left to its client
-readiness, late: the part of the restarted processes that were not ready in 10 s (6 s, if the day ends sooner)
-readiness, slowest: the longest that a restarted process took to be ready
-none: nothing of the kind happened. not shown: the traces do not have what is needed. narrow: under a quarter of the \
-limit is left. over: beyond the limit
+slow start: attempts that one restarted server received in the window of the settings from all nodes together, as a \
+fraction of the budget beyond which it collapses; only windows with over two thirds of the attempts from nodes that had \
+been notified of its start
+drain: time of the latest send to a server that is draining or removed, after its node was notified or counted as notified
+notification: longest time from the first node's notification of a drain or a removal to that of another node
+final answer: time of the latest final answer, after the deadline of its request
+lost requests: requests that were read and had no final answer within half a second after their deadline
+client disconnect: time of the latest attempt that began after its client had closed its connection
+deadline: largest time by which the deadline that an attempt stated to its server exceeded the time left to its client
+readiness, late: share of the restarted processes that were not ready in 10 s (6 s if the day ends sooner)
+readiness, slowest: longest time that a restarted process took to be ready
+none: no such event happened. not shown: the traces lack the required lines. narrow: less than a quarter of the limit \
+is left. over: beyond the limit
 ";
 
-/// What a recording has of a rule.
+/// The value that a recording shows for a rule.
 enum Measured {
-    /// The worst figure.
+    /// The worst value.
     Worst(f64),
-    /// Nothing of the kind happened.
-    Nothing,
-    /// The traces do not have what is needed.
+    /// No such event happened.
+    None,
+    /// The traces lack the required lines.
     NotShown,
 }
 
 /// A row of the table.
 enum Row {
-    /// A figure that has a limit.
-    Figure {
+    /// A value that has a limit.
+    Value {
         name: &'static str,
         measured: Measured,
         limit: f64,
@@ -56,7 +57,7 @@
 impl Row {
     /// A time with a limit, in seconds.
     fn time(name: &'static str, measured: Measured, limit: Micros) -> Row {
-        Row::Figure {
+        Row::Value {
             name,
             measured,
             limit: seconds(limit),
@@ -64,10 +65,10 @@
         }
     }
 
-    /// The part of the limit that is left, where the recording shows it.
+    /// The fraction of the limit that is left, if the recording shows it.
     fn margin(&self) -> Option<f64> {
         match self {
-            Row::Figure {
+            Row::Value {
                 measured: Measured::Worst(worst),
                 limit,
                 ..
@@ -79,14 +80,14 @@
     fn is_narrow(&self) -> bool {
         match self {
             Row::Count { count, .. } => *count > 0,
-            Row::Figure { .. } => self.margin().is_some_and(|margin| margin < NARROW_MARGIN),
+            Row::Value { .. } => self.margin().is_some_and(|margin| margin < NARROW_MARGIN),
         }
     }
 
     fn mark(&self) -> &'static str {
         let is_over = match self {
             Row::Count { count, .. } => *count > 0,
-            Row::Figure { .. } => self.margin().is_some_and(|margin| margin < 0.0),
+            Row::Value { .. } => self.margin().is_some_and(|margin| margin < 0.0),
         };
         match (is_over, self.is_narrow()) {
             (true, _) => " (over)",
@@ -95,7 +96,7 @@
         }
     }
 
-    /// The row as it is printed: run, rule, worst, limit, margin.
+    /// The printed row: run, rule, worst value, limit, margin.
     fn line(&self, run: &str) -> String {
         let mark = self.mark();
         let margin = self
@@ -103,7 +104,7 @@
             .map_or(String::new(), |margin| format!("{:.0}%", margin * 100.0));
         match self {
             Row::Count { name, count } => format!("| {run} | {name} | {count} | 0 |{mark} |\n"),
-            Row::Figure {
+            Row::Value {
                 name,
                 measured,
                 limit,
@@ -111,7 +112,7 @@
             } => {
                 let worst = match measured {
                     Measured::Worst(worst) => format!("{worst:.2} {unit}"),
-                    Measured::Nothing => "none".into(),
+                    Measured::None => "none".into(),
                     Measured::NotShown => "not shown".into(),
                 };
                 format!("| {run} | {name} | {worst} | {limit:.2} {unit} | {margin}{mark} |\n")
@@ -130,32 +131,44 @@
     time_us as f64 / 1e6
 }
 
-/// The worst figure, or none where nothing of the kind happened.
-fn worst(figure: Option<f64>) -> Measured {
-    figure.map_or(Measured::Nothing, Measured::Worst)
+/// The worst value, or [`Measured::None`] if no such event happened.
+fn worst(value: Option<f64>) -> Measured {
+    value.map_or(Measured::None, Measured::Worst)
 }
 
 impl Margins {
     fn rows(&self) -> Vec<Row> {
-        let drain_grace = self.parameters.drain_grace_us as Micros + SOCKET_ALLOWANCE;
+        let drain_grace = self.parameters.drain_grace_us as Micros + SOCKET_ALLOWANCE_US;
         let answer = self.latest_answer.as_ref();
         let lateness = answer.map(|answer| signed_seconds(answer.lateness_us));
         vec![
             self.slow_start_row(),
             Row::time("drain", self.latest_after_drain(), drain_grace),
-            Row::time("notification", self.notification_delay(), NOTIFIED_AFTER),
-            Row::time("final answer", worst(lateness), ANSWER_LOST_AFTER),
+            Row::time(
+                "notification",
+                self.notification_delay(),
+                COUNTS_AS_NOTIFIED_AFTER_US,
+            ),
+            Row::time("final answer", worst(lateness), ANSWER_LOST_AFTER_US),
             Row::Count {
                 name: "lost requests",
                 count: self.lost_requests.total(),
             },
-            Row::time("client departure", self.latest_departure(), DEPARTURE_GRACE),
-            Row::time("deadline", self.worst_deadline(), STATED_DEADLINE_SLACK),
+            Row::time(
+                "client disconnect",
+                self.latest_disconnect(),
+                DISCONNECT_GRACE_US,
+            ),
+            Row::time(
+                "deadline",
+                self.worst_stated_deadline(),
+                STATED_DEADLINE_SLACK_US,
+            ),
             self.late_readiness_row(),
             Row::time(
                 "readiness, slowest",
                 self.slowest_readiness(),
-                READY_AT_LATEST,
+                MAX_READY_TIME_US,
             ),
         ]
     }
@@ -165,9 +178,9 @@
         let measured = match windows.first() {
             Some(window) => Measured::Worst(window.load()),
             None if self.slow_start.starts_of_unknown_capacity > 0 => Measured::NotShown,
-            None => Measured::Nothing,
+            None => Measured::None,
         };
-        Row::Figure {
+        Row::Value {
             name: "slow start",
             measured,
             limit: 1.0,
@@ -185,15 +198,15 @@
         worst(longest.map(|longest| seconds(longest.delay)))
     }
 
-    fn latest_departure(&self) -> Measured {
-        if self.client_departures.departures == 0 {
-            return Measured::Nothing;
+    fn latest_disconnect(&self) -> Measured {
+        if self.client_disconnects.disconnects == 0 {
+            return Measured::None;
         }
-        let latest = self.client_departures.latest.as_ref();
+        let latest = self.client_disconnects.latest.as_ref();
         Measured::Worst(latest.map_or(0.0, |latest| seconds(latest.elapsed)))
     }
 
-    fn worst_deadline(&self) -> Measured {
+    fn worst_stated_deadline(&self) -> Measured {
         if self.gaps.contains(&Gap::StatedDeadlines) {
             return Measured::NotShown;
         }
@@ -204,14 +217,14 @@
     fn late_readiness_row(&self) -> Row {
         let readiness = &self.readiness;
         let measured = match (readiness.judged, readiness.undetermined) {
-            (0, 0) => Measured::Nothing,
+            (0, 0) => Measured::None,
             (0, _) => Measured::NotShown,
             (judged, _) => Measured::Worst(readiness.late as f64 / judged as f64),
         };
-        Row::Figure {
+        Row::Value {
             name: "readiness, late",
             measured,
-            limit: READY_LATE_SHARE,
+            limit: MAX_LATE_READY_SHARE,
             unit: "of the restarts",
         }
     }
@@ -221,12 +234,12 @@
         worst(slowest.map(|slowest| seconds(slowest.delay)))
     }
 
-    /// Whether a margin is narrow, less than a quarter of its limit, or a request was lost.
+    /// Whether a margin is narrow, which is less than a quarter of its limit, or a request was lost.
     pub fn is_narrow(&self) -> bool {
         self.rows().iter().any(Row::is_narrow)
     }
 
-    /// The margins as rows of the table under [`TABLE_HEAD`]. `run` is the name of the run.
+    /// The margins as rows of the table under [`TABLE_HEADER`]. `run` is the name of the run.
     pub fn table(&self, run: &str) -> String {
         self.rows().iter().map(|row| row.line(run)).collect()
     }
--- a/crates/acceptance/src/sources.rs
+++ b/crates/acceptance/src/sources.rs
@@ -1,4 +1,4 @@
-//! The sources in the working tree, and whether a run of the fleet test was made on the same.
+//! Hashes the sources in the working tree and compares them with the sources of a run of the fleet test.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -39,16 +39,16 @@
 
 /// The deploy file, from the root of the repository.
 const DEPLOY_FILE: &str = "deploy/balancer.toml";
-/// All sources of the policy, including the files that the deploy file names.
+/// Folder of all sources of the policy, including the files that the deploy file lists.
 const POLICY_SOURCES: &str = "crates/routing-policy/src";
 
-/// The sources in the working tree that decide how a node acts.
+/// The sources in the working tree that determine the behaviour of a node.
 #[derive(Debug)]
 pub struct Sources {
     root: PathBuf,
     policy_files: Vec<SourceFile>,
     node_files: Vec<SourceFile>,
-    /// Sources of the policy besides the files that the deploy file names.
+    /// Sources of the policy that the deploy file does not list.
     other_policy_files: Vec<SourceFile>,
 }
 
@@ -59,17 +59,17 @@
     Same,
     /// They differ.
     Differ,
-    /// Those listed are the same, but the commit that holds the others is not in this repository.
+    /// The listed files are the same, but the commit with the other files is not in this repository.
     Unknown,
 }
 
 impl Sources {
-    /// Reads and hashes them.
+    /// Reads and hashes the sources.
     ///
     /// `root` is the root of the repository.
     ///
     /// # Errors
-    /// Where the deploy file or a file that it names cannot be read.
+    /// If the deploy file or a file that it lists cannot be read.
     pub fn read(root: &Path) -> Result<Sources, SourceError> {
         let path = root.join(DEPLOY_FILE);
         let text = std::fs::read_to_string(&path).map_err(|source| SourceError::Unreadable {
@@ -98,7 +98,7 @@
         })
     }
 
-    /// Compares the sources of a run with these: all of them, or the network code alone.
+    /// Compares the sources of a run with these, either all of them or only the network code.
     pub fn compare(&self, entry: &Entry, network_code_only: bool) -> Match {
         if !same_files(&entry.node_files, &self.node_files) {
             return Match::Differ;
@@ -135,9 +135,9 @@
         Match::Same
     }
 
-    /// Hash of a file in a commit, `None` where the commit has no such file.
+    /// SHA-256 of a file in a commit; `None` if the commit has no such file.
     fn committed_sha256(&self, commit: &str, path: &str) -> Result<Option<String>, UnknownCommit> {
-        // The text becomes an argument of another program: nothing but a commit's hash may.
+        // The text is passed to git as an argument, so only hexadecimal digits are accepted.
         if commit.is_empty() || !commit.bytes().all(|byte| byte.is_ascii_hexdigit()) {
             return Err(UnknownCommit);
         }
@@ -161,17 +161,17 @@
     }
 }
 
-/// A commit cannot be read in this repository.
+/// The commit cannot be read in this repository.
 struct UnknownCommit;
 
-/// Whether two lists have the same files, in whatever order.
+/// Whether two lists have the same files, in any order.
 fn same_files(left: &[SourceFile], right: &[SourceFile]) -> bool {
     let left: BTreeSet<&SourceFile> = left.iter().collect();
     let right: BTreeSet<&SourceFile> = right.iter().collect();
     left == right
 }
 
-/// All files under some paths, at any depth, with their hashes, in the order of their paths.
+/// Hashes all files under the given paths, at any depth. The result is sorted by path.
 fn hash_files(root: &Path, paths: &[String]) -> Result<Vec<SourceFile>, SourceError> {
     let mut files = Vec::new();
     let mut pending: Vec<PathBuf> = paths.iter().map(PathBuf::from).collect();
--- a/crates/acceptance/src/trace.rs
+++ b/crates/acceptance/src/trace.rs
@@ -1,48 +1,49 @@
-//! The trace lines that a node writes with `node.trace` on, read back. `docs/FLEET.md` describes their form.
+//! Parses the trace lines that a node writes when `node.trace` is on. `docs/FLEET.md` describes their format.
 
 use std::str::{FromStr, Split};
 
 /// Unix time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// What the fields of a line are preceded by.
-const MARKER: &str = "trace ";
+/// Prefix of the fields of a trace line.
+const TRACE_PREFIX: &str = "trace ";
 
-/// A trace line: when it was written, and what it reports.
+/// A trace line: the time at which it was written, and its event.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TraceLine<'a> {
     /// Unix time.
     pub at: Micros,
-    /// What it reports.
+    /// The event that it reports.
     pub event: TraceEvent<'a>,
 }
 
-/// What a trace line reports.
+/// The event that a trace line reports.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TraceEvent<'a> {
-    /// A process has started, with these of its settings.
+    /// A process has started with these settings.
     Started(RuleParameters),
-    /// An endpoint list, or a change of one, takes effect; its servers follow.
+    /// An endpoint list or a change to one takes effect. A [`TraceEvent::ListedServer`] for each of its servers
+    /// follows.
     ListReceived {
-        /// Whether a server that it does not name is removed.
+        /// Whether servers missing from it are removed.
         complete: bool,
-        /// Whether it is the saved one that a process starts with.
+        /// Whether it is the cached list that a process loads at start.
         cached: bool,
-        /// Its version.
+        /// Version of the list.
         version: u64,
     },
-    /// A server of the list before it.
+    /// A server of the preceding list.
     ListedServer(ListedServer),
-    /// A client's request has come.
+    /// A client's request was received.
     RequestReceived {
         /// Number of the request in this process.
         request: u64,
         /// Hash of the key.
         key: u64,
-        /// How long its client waits.
+        /// Time until its deadline.
         remaining: Micros,
-        /// The client's own name for it, which is the same at all nodes.
-        client_name: &'a str,
+        /// Id that the client assigned to it, which is the same on all nodes.
+        client_request_id: &'a str,
     },
     /// An attempt was handed to a connection.
     AttemptSent {
@@ -53,7 +54,7 @@
         /// Id of the server.
         server: u32,
     },
-    /// An attempt has its outcome.
+    /// The outcome of an attempt is known.
     AttemptEnded {
         /// Number of its request.
         request: u64,
@@ -64,111 +65,112 @@
         /// How it ended, such as `Served` or `TimedOut`.
         status: &'a str,
     },
-    /// A request has its final answer, or its client has disconnected.
+    /// A request received its final answer, or its client disconnected.
     RequestEnded {
         /// Number of the request.
         request: u64,
         /// `served`, `refused`, `failed` or `gone`.
         outcome: &'a str,
-        /// How long after its deadline, in microseconds; negative before it.
+        /// Time after its deadline, in microseconds; negative if it ended before the deadline.
         lateness_us: i64,
     },
     /// Discovery was called to open a watch, or a watch was ended.
     DiscoveryCalled,
     /// A call to discovery failed or a watch broke.
     DiscoveryFailed,
-    /// The process answers `PING` with `PONG` from now on.
+    /// The process began to answer `PING` with `PONG`.
     BecameReady {
-        /// How long ago the process was launched.
+        /// Time since the process was launched.
         since_launch: Micros,
     },
     /// The process was asked to shut down.
     ShutdownRequested,
-    /// The process ends by itself.
+    /// The process exited on its own.
     Exited,
-    /// The close or reset of a client that waits for a request was read.
-    ClientDeparted {
+    /// The close or reset of a client connection with a pending request was read.
+    ClientDisconnected {
         /// Number of the request.
         request: u64,
     },
-    /// The node itself closed the connection of a request without an answer.
+    /// The node closed the connection of a request without answering it.
     RequestDropped {
         /// Number of the request.
         request: u64,
     },
-    /// An attempt states a deadline to its server.
+    /// An attempt stated a deadline to its server.
     DeadlineStated {
         /// Number of its request.
         request: u64,
         /// Number of the attempt in the request, from 0.
         attempt: u16,
-        /// How long the server is told that the node will wait, in milliseconds.
+        /// Time that the node will wait for the server, as stated to the server, in milliseconds.
         stated_ms: u64,
     },
 }
 
-/// The settings that the rules are stated in.
+/// Settings that the limits of the rules depend on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RuleParameters {
     /// The node's number.
     pub node: u32,
     /// How many nodes there are.
     pub nodes: u32,
-    /// Part of its capacity that a server starts with, from 0 to 1.
+    /// Share of its full capacity that a server has at its start, from 0 to 1.
     pub initial_capacity_share: f64,
-    /// Time after its start at which a server has its full capacity, in microseconds.
+    /// Time after its start until a server has its full capacity, in microseconds.
     pub warm_up_us: f64,
-    /// A server that is warming up collapses when it receives more than this multiple of its capacity ...
+    /// A server that is warming up collapses if its load exceeds this multiple of its capacity for
+    /// `overload_window_us`.
     pub overload_multiple: f64,
-    /// ... for this time, in microseconds.
+    /// Length of the window over which `overload_multiple` applies, in microseconds.
     pub overload_window_us: f64,
-    /// Sends to a draining server have to end within this time, in microseconds.
+    /// Time within which sends to a draining server must stop, in microseconds.
     pub drain_grace_us: f64,
-    /// The kind of the origin, which is no cache server; -1 for none.
+    /// Server kind of the origin, which is not a cache server; -1 if there is no origin.
     pub origin_kind: i64,
 }
 
-/// A server as an endpoint list has it.
+/// A server in an endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ListedServer {
     /// Its id.
     pub id: u32,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub ready: bool,
     /// Index of its kind in the settings.
     pub kind: i64,
-    /// When it last started; 0 for long ago.
+    /// Time of its last start; 0 if that was long ago.
     pub started: Micros,
 }
 
-/// A line that has the marker of a trace and not its form.
+/// A line that has the trace prefix but cannot be parsed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("broken trace line: {line}")]
-pub struct BrokenLine<'a> {
+#[error("malformed trace line: {line}")]
+pub struct MalformedLine<'a> {
     /// The line as it was read.
     pub line: &'a str,
 }
 
-/// Reads a line of a log. It returns `None` for a line that is no part of a trace.
+/// Parses a line of a log. Returns `None` for a line that is not a trace line.
 ///
 /// # Errors
-/// Where a trace line does not have the form that its event requires.
-pub fn read_line(line: &str) -> Result<Option<TraceLine<'_>>, BrokenLine<'_>> {
-    let Some((before, fields)) = line.trim_end().split_once(MARKER) else {
+/// If a trace line does not have the format of its event.
+pub fn read_line(line: &str) -> Result<Option<TraceLine<'_>>, MalformedLine<'_>> {
+    let Some((before, fields)) = line.trim_end().split_once(TRACE_PREFIX) else {
         return Ok(None);
     };
-    // The fleet test puts the time of its own clock before each line.
-    let is_clock = |byte: u8| byte.is_ascii_digit() || matches!(byte, b'.' | b' ');
-    if !before.bytes().all(is_clock) {
+    // The fleet test prefixes each line with the time of its own clock.
+    let is_timestamp_byte = |byte: u8| byte.is_ascii_digit() || matches!(byte, b'.' | b' ');
+    if !before.bytes().all(is_timestamp_byte) {
         return Ok(None);
     }
     match parse(Fields::of(fields)) {
         Some(line) => Ok(Some(line)),
-        None => Err(BrokenLine { line }),
+        None => Err(MalformedLine { line }),
     }
 }
 
-/// The fields of a line that are still to be read.
+/// The fields of a line that have not been read yet.
 struct Fields<'a> {
     rest: Split<'a, char>,
 }
@@ -227,7 +229,7 @@
     Some(TraceLine { at, event })
 }
 
-/// The lines that only the margins need. A node may leave them out.
+/// Parses the lines that only [`crate::margins`] needs. A node may omit them.
 fn parse_diagnostic<'a>(word: &str, fields: &mut Fields<'a>) -> Option<TraceEvent<'a>> {
     Some(match word {
         "ready" => TraceEvent::BecameReady {
@@ -235,7 +237,7 @@
         },
         "terminate" => TraceEvent::ShutdownRequested,
         "exit" => TraceEvent::Exited,
-        "departed" => TraceEvent::ClientDeparted {
+        "departed" => TraceEvent::ClientDisconnected {
             request: fields.number()?,
         },
         "dropped" => TraceEvent::RequestDropped {
@@ -276,7 +278,7 @@
     let id = fields.number()?;
     let ready = fields.text()? == "Ready";
     let kind = fields.number()?;
-    fields.skip()?; // Its zone.
+    fields.skip()?; // The zone.
     Some(ListedServer {
         id,
         ready,
@@ -288,11 +290,11 @@
 fn parse_request<'a>(fields: &mut Fields<'a>) -> Option<TraceEvent<'a>> {
     let request = fields.number()?;
     let key = fields.hexadecimal()?;
-    fields.skip()?; // Its class.
+    fields.skip()?; // The class.
     Some(TraceEvent::RequestReceived {
         request,
         key,
         remaining: fields.number()?,
-        client_name: fields.text()?,
+        client_request_id: fields.text()?,
     })
 }
--- a/crates/acceptance/tests/check.rs
+++ b/crates/acceptance/tests/check.rs
@@ -1,4 +1,4 @@
-//! The verdict of the acceptance check, over journals made for it.
+//! The verdict of the acceptance check on generated journals.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -51,7 +51,7 @@
     json!({"path": path, "sha256": hex})
 }
 
-/// An entry of a run on the sources as they are.
+/// An entry of a run on the current sources.
 fn entry(root: &Path, id: &str, panel: &str, score: f64) -> Value {
     let argv = match panel {
         LATER => vec!["S", "--panel", "later", "--quick"],
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn it_passes_where_each_score_was_passed_on_these_sources() {
+fn the_check_passes_if_each_score_passed_on_the_current_sources() {
     let root = repository();
     write_all_scores(root.path());
     let text = "the acceptance check passes: full score 0.800 (1); quick score 0.800 (2); later panel 0.800 (3); \
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_change_of_the_policy_or_the_node_leaves_every_score_missing() {
+fn after_a_change_of_the_policy_or_the_node_the_scores_that_depend_on_it_are_missing() {
     for changed in FILES {
         let root = repository();
         write_all_scores(root.path());
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn the_last_run_on_these_sources_counts_and_its_failure_is_named() {
+fn the_last_run_on_the_current_sources_counts_and_its_failure_is_reported() {
     let failures = [
         (
             "/days/0/rules/drain",
@@ -139,9 +139,9 @@
     for (pointer, value, reason) in failures {
         let root = repository();
         write_all_scores(root.path());
-        let mut worse = entry(root.path(), "4", FULL, 0.9);
-        *worse.pointer_mut(pointer).unwrap() = value;
-        write(root.path(), &worse);
+        let mut failing = entry(root.path(), "4", FULL, 0.9);
+        *failing.pointer_mut(pointer).unwrap() = value;
+        write(root.path(), &failing);
         let (passed, text) = verdict(root.path());
         assert!(
             !passed && text.contains(&format!("full score failed (4: {reason})")),
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_regression_by_more_than_three_hundredths_is_named_and_a_smaller_one_is_not() {
+fn a_regression_of_more_than_0_03_is_reported_and_a_smaller_one_is_not() {
     for (score, passes) in [(0.771, true), (0.769, false)] {
         let root = repository();
         write_all_scores(root.path());
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_run_of_another_deployment_is_no_score_of_this_one() {
+fn a_run_of_another_deployment_is_ignored() {
     let root = repository();
     write_all_scores(root.path());
     let mut other = entry(root.path(), "4", QUICK, 0.2);
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn an_incomplete_entry_is_named_and_skipped() {
+fn an_incomplete_entry_is_reported_and_skipped() {
     let root = repository();
     write_all_scores(root.path());
     let complete = fs::read(root.path().join("journal/1.json")).unwrap();
--- a/crates/acceptance/tests/deployments.rs
+++ b/crates/acceptance/tests/deployments.rs
@@ -1,4 +1,5 @@
-//! Nothing of a deployment stands in the sources: classes, tenants, zones, kinds, limits and costs come from the settings.
+//! Guards against sources that are tailored to a deployment: classes, tenants, zones, kinds, limits and costs must come
+//! from the settings only.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -8,21 +9,24 @@
 
 use std::path::{Path, PathBuf};
 
-fn files_below(folder: &Path, ending: &str) -> Vec<PathBuf> {
+fn files_under(folder: &Path, extension: &str) -> Vec<PathBuf> {
     let mut found = Vec::new();
     for entry in std::fs::read_dir(folder).unwrap().flatten() {
         let path = entry.path();
         if path.is_dir() {
-            found.extend(files_below(&path, ending));
-        } else if path.extension().is_some_and(|known| known == ending) {
+            found.extend(files_under(&path, extension));
+        } else if path
+            .extension()
+            .is_some_and(|found_extension| found_extension == extension)
+        {
             found.push(path);
         }
     }
     found
 }
 
-/// The names in a deployment's file, and those of its limits and costs that are too specific to stand elsewhere by
-/// chance.
+/// The names in the file of a deployment, and those of its limits and costs that are too specific to occur in other
+/// files by chance.
 fn deployment_words(deployment: &str) -> Vec<String> {
     let mut words = Vec::new();
     for line in deployment
@@ -35,7 +39,7 @@
         let quoted = value.split('"').skip(1).step_by(2).map(str::to_owned);
         match key.trim() {
             "name" | "zones" => words.extend(quoted),
-            // At least three figures that are not noughts.
+            // Numbers with at least three non-zero digits.
             _ => words.extend(
                 value
                     .split(|c: char| !c.is_ascii_digit() && c != '.')
@@ -46,7 +50,7 @@
             ),
         }
     }
-    // Words that the settings' own form has, whatever the deployment.
+    // Words that belong to the format of the settings and occur in every deployment.
     let common = [
         "burst", "hot_key", "scan", "reading", "curve", "tall", "flat",
     ];
@@ -55,15 +59,15 @@
 }
 
 #[test]
-fn no_class_tenant_zone_limit_or_cost_of_any_deployment_stands_in_the_sources() {
+fn the_sources_contain_no_class_tenant_zone_limit_or_cost_of_any_deployment() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-    let deployments: Vec<_> = files_below(&root.join("deploy/sites"), "toml")
+    let deployments: Vec<_> = files_under(&root.join("deploy/sites"), "toml")
         .into_iter()
         .map(|path| std::fs::read_to_string(path).unwrap())
         .collect();
     assert!(
         deployments.len() >= 2,
-        "two deployments of the repository's own"
+        "the repository must contain at least two deployments"
     );
     let words: Vec<String> = deployments
         .iter()
@@ -80,22 +84,26 @@
     ] {
         assert!(
             words.iter().any(|word| word == name),
-            "{name} is among the words that are searched for"
+            "{name} must be among the words that are searched for"
         );
     }
-    let in_service = ["routing-policy", "cache-router", "simulator-adapter"];
-    let sources =
-        in_service.map(|name| files_below(&root.join("crates").join(name).join("src"), "rs"));
+    let production_crates = ["routing-policy", "cache-router", "simulator-adapter"];
+    let sources = production_crates
+        .map(|name| files_under(&root.join("crates").join(name).join("src"), "rs"));
     for path in sources.concat() {
         let text = std::fs::read_to_string(&path).unwrap();
         for word in &words {
-            let inside =
+            let is_word_char =
                 |c: Option<char>| c.is_some_and(|c| c.is_ascii_alphanumeric() || "._-".contains(c));
-            let whole = text.match_indices(word.as_str()).any(|(at, _)| {
-                !inside(text[..at].chars().next_back())
-                    && !inside(text[at + word.len()..].chars().next())
+            let is_whole_word = text.match_indices(word.as_str()).any(|(at, _)| {
+                !is_word_char(text[..at].chars().next_back())
+                    && !is_word_char(text[at + word.len()..].chars().next())
             });
-            assert!(!whole, "{} has {word:?} of a deployment", path.display());
+            assert!(
+                !is_whole_word,
+                "{} contains {word:?}, which belongs to a deployment",
+                path.display()
+            );
         }
     }
 }
--- a/crates/acceptance/tests/known_red.rs
+++ b/crates/acceptance/tests/known_red.rs
@@ -1,4 +1,4 @@
-//! What CI skips: exactly the tests that KNOWN-RED.txt lists, as long as they exist and fail.
+//! CI skips exactly the tests that KNOWN-RED.txt lists as known failures, and only while they exist and fail.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -10,7 +10,8 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// Stands in for cargo: knows three tests, of which `part::broken` fails, and prints the arguments that it was called with.
+/// Fake `cargo`: it prints its arguments and has the tests `part::whole`, which passes, and `part::broken`, which
+/// fails.
 const CARGO: &str = r#"#!/bin/sh
 echo "called: $*"
 case "$*" in
@@ -22,7 +23,7 @@
 esac
 "#;
 
-/// A folder with a stand-in for cargo, and a list of known failures.
+/// A folder with a fake `cargo` and a list of known failures.
 struct Ci {
     folder: PathBuf,
 }
@@ -37,7 +38,7 @@
         Ci { folder }
     }
 
-    /// Whether CI's tests pass with a list, and what was printed.
+    /// Runs `.ci/test` with a list. Returns whether it passed, and its output.
     fn run(&self, list: Option<&str>) -> (bool, String) {
         let file = self.folder.join("list");
         let _ = std::fs::remove_file(&file);
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn a_listed_test_that_fails_is_skipped_by_its_whole_name_and_printed() {
+fn a_listed_test_that_fails_is_skipped_by_its_full_name_and_printed() {
     let ci = Ci::new("listed");
     let (passed, output) = ci.run(Some("part::broken, the fault and where it is, 25\n"));
     assert!(
--- a/crates/routerctl/src/commands/margins.rs
+++ b/crates/routerctl/src/commands/margins.rs
@@ -1,4 +1,4 @@
-//! `routerctl margins`: how far runs of the fleet test stayed from the limits of the rules.
+//! `routerctl margins`: measures how far runs of the fleet test stayed from the limits of the test's rules.
 
 use std::path::PathBuf;
 
@@ -11,16 +11,16 @@
 #[derive(Args)]
 #[command(after_help = "Example:\n  routerctl margins logs/join-11 logs/zone-11")]
 pub struct Arguments {
-    /// Folders of logs, one for each run; the table names a run by its folder
+    /// Log folders, one for each run; the table shows a run under the name of its folder
     #[arg(required = true, value_name = "RUNS")]
     runs: Vec<PathBuf>,
-    /// Print the table alone
+    /// Print only the table
     #[arg(long)]
     table: bool,
 }
 
 pub fn run(arguments: &Arguments) -> CommandResult {
-    let mut table = String::from(margins::TABLE_HEAD);
+    let mut table = String::from(margins::TABLE_HEADER);
     let mut any_narrow = false;
     for folder in &arguments.runs {
         let name = folder
