--- a/crates/testbed/src/fault_matrix/kind.rs
+++ b/crates/testbed/src/fault_matrix/kind.rs
@@ -1,4 +1,4 @@
-//! The kinds of faults that the matrix injects into system calls and clocks of the nodes.
+//! The kinds of faults that the matrix injects into the system calls and clocks of nodes (`cache-router` processes).
 
 use std::fmt::{self, Display, Formatter};
 use std::str::FromStr;
@@ -9,47 +9,47 @@
 
 use crate::scenario::{ClockOwner, FaultEvent};
 
-/// The faults last until all clients are answered: longer than any scenario of the matrix.
-const LASTS: Span = Span(Duration::from_secs(3_600));
-/// How far clocks are off, in seconds.
+/// Longer than any scenario of the matrix, so that faults stay active until all requests have been answered.
+const FAULT_DURATION: Span = Span(Duration::from_secs(3_600));
+/// Offset of stepped clocks, in seconds.
 const CLOCK_OFFSET_S: f64 = 3_600.0;
-/// Part of the nodes whose clocks are off, where not all of them are.
-const NODES_WITH_OTHER_CLOCKS: f64 = 0.5;
+/// Fraction of the nodes that a clock step affects, where it does not affect all of them.
+const AFFECTED_NODE_FRACTION: f64 = 0.5;
 
-const READS: [SystemCall; 3] = [SystemCall::Recv, SystemCall::Read, SystemCall::Readv];
-const WRITES: [SystemCall; 3] = [SystemCall::Send, SystemCall::Write, SystemCall::Writev];
-/// Errors that the machine answers with for a while when it has too little of something.
-const SHORTAGES: [ErrorName; 4] = [
+const READ_CALLS: [SystemCall; 3] = [SystemCall::Recv, SystemCall::Read, SystemCall::Readv];
+const WRITE_CALLS: [SystemCall; 3] = [SystemCall::Send, SystemCall::Write, SystemCall::Writev];
+/// Errors that the operating system returns temporarily while a resource is exhausted.
+const RESOURCE_ERRORS: [ErrorName; 4] = [
     ErrorName::Enfile,
     ErrorName::Emfile,
     ErrorName::Enobufs,
     ErrorName::Enomem,
 ];
 
-/// A kind of faults.
+/// A kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FaultKind {
-    /// Sockets are read and written in shorter pieces than could be.
+    /// Reads and writes on sockets transfer fewer bytes than they could.
     ShortCounts,
-    /// Calls on sockets and waits are interrupted.
+    /// Calls on sockets and `epoll_wait` fail with `EINTR`.
     Interrupted,
-    /// Sockets can't be created.
+    /// `socket` fails.
     Sockets,
-    /// Connections can't be accepted.
+    /// `accept4` fails.
     Accepts,
-    /// Connections can't be made, for reasons of the own machine.
+    /// `connect` fails, for a cause on the local machine.
     Connects,
-    /// Addresses can't be bound or listened on.
+    /// `bind` and `listen` fail.
     Listens,
-    /// Files can't be opened or read.
+    /// Opens and reads of files fail, or transfers of file data are short.
     Files,
-    /// The log can't be written, or in part only.
+    /// Writes to the log fail or are short.
     Log,
-    /// All of these.
-    Together,
-    /// Clocks are off from the start.
+    /// All kinds above together.
+    Combined,
+    /// Clocks are wrong from the start.
     ClockOffset,
-    /// Clocks are stepped, ahead and back, while nodes run.
+    /// Clocks are stepped forwards and backwards while nodes run.
     ClockSteps,
 }
 
@@ -64,12 +64,12 @@
         FaultKind::Listens,
         FaultKind::Files,
         FaultKind::Log,
-        FaultKind::Together,
+        FaultKind::Combined,
         FaultKind::ClockOffset,
         FaultKind::ClockSteps,
     ];
 
-    /// Its name.
+    /// The name used on the command line and in tables.
     pub fn name(self) -> &'static str {
         match self {
             FaultKind::ShortCounts => "short-counts",
@@ -80,41 +80,44 @@
             FaultKind::Listens => "listens",
             FaultKind::Files => "files",
             FaultKind::Log => "log",
-            FaultKind::Together => "together",
+            FaultKind::Combined => "together",
             FaultKind::ClockOffset => "clock-offset",
             FaultKind::ClockSteps => "clock-steps",
         }
     }
 
-    /// Whether it hits a fraction of the calls; a clock is off or not.
+    /// Whether it affects a given fraction of the calls. Clock faults have no rate.
     pub fn has_rate(self) -> bool {
         !matches!(self, FaultKind::ClockOffset | FaultKind::ClockSteps)
     }
 
-    /// Whether the calls that it concerns are made by a node that is up and does its work, so that a run in which nothing
-    /// was injected tests nothing. Other calls are few: at a low rate none of them may be hit.
-    pub fn concerns_frequent_calls(self) -> bool {
+    /// Whether it affects calls that every serving node makes all the time, so that a run in which nothing was injected
+    /// tests nothing. The other calls are rare: at a low rate, possibly none of them is affected.
+    pub fn affects_frequent_calls(self) -> bool {
         matches!(
             self,
-            FaultKind::ShortCounts | FaultKind::Interrupted | FaultKind::Together
+            FaultKind::ShortCounts | FaultKind::Interrupted | FaultKind::Combined
         )
     }
 
-    /// The faults of a scenario of a length that inject it at a rate, from before the nodes start to the end.
+    /// The events that inject this fault at `rate` into a scenario of the given length, from before the nodes start
+    /// until the end.
     pub fn events(self, rate: f64, length: Span) -> Vec<FaultEvent> {
         match self {
             FaultKind::ShortCounts => vec![short_counts(DescriptorKind::Tcp, rate)],
-            FaultKind::Interrupted => vec![interrupted(rate)],
-            FaultKind::Sockets => vec![fails(&[SystemCall::Socket], &SHORTAGES, rate)],
-            FaultKind::Accepts => vec![accepts_fail(rate)],
-            FaultKind::Connects => vec![connects_fail(rate)],
-            FaultKind::Listens => vec![listens_fail(rate)],
-            FaultKind::Files => files_fail(rate),
-            FaultKind::Log => log_fails(rate),
-            FaultKind::Together => {
-                let with_rate = FaultKind::ALL.into_iter().filter(|kind| kind.has_rate());
-                let parts = with_rate.filter(|kind| *kind != FaultKind::Together);
-                parts.flat_map(|kind| kind.events(rate, length)).collect()
+            FaultKind::Interrupted => vec![interrupted_calls(rate)],
+            FaultKind::Sockets => vec![call_errors(&[SystemCall::Socket], &RESOURCE_ERRORS, rate)],
+            FaultKind::Accepts => vec![accept_errors(rate)],
+            FaultKind::Connects => vec![connect_errors(rate)],
+            FaultKind::Listens => vec![listen_errors(rate)],
+            FaultKind::Files => file_errors(rate),
+            FaultKind::Log => log_errors(rate),
+            FaultKind::Combined => {
+                let kinds_with_rate = FaultKind::ALL.into_iter().filter(|kind| kind.has_rate());
+                let combined = kinds_with_rate.filter(|kind| *kind != FaultKind::Combined);
+                combined
+                    .flat_map(|kind| kind.events(rate, length))
+                    .collect()
             }
             FaultKind::ClockOffset => clock_offset(),
             FaultKind::ClockSteps => clock_steps(length),
@@ -128,12 +131,12 @@
     }
 }
 
-/// A word that is no kind of faults.
+/// The name is not that of a fault kind.
 #[derive(Debug, thiserror::Error)]
-#[error("found {found:?}: write {}", FaultKind::ALL.map(FaultKind::name).join(", "))]
+#[error("unknown kind of fault {name:?}: write one of {}", FaultKind::ALL.map(FaultKind::name).join(", "))]
 pub struct UnknownFaultKind {
-    /// The word.
-    found: String,
+    /// The unknown name.
+    name: String,
 }
 
 impl FromStr for FaultKind {
@@ -143,12 +146,12 @@
         let mut kinds = FaultKind::ALL.into_iter();
         kinds
             .find(|kind| kind.name() == text)
-            .ok_or_else(|| UnknownFaultKind { found: text.into() })
+            .ok_or_else(|| UnknownFaultKind { name: text.into() })
     }
 }
 
-/// A fault of system calls on descriptors of a kind.
-fn fails_on(
+/// Makes system calls on descriptors of a kind fail, from the start.
+fn call_errors_on(
     on: DescriptorKind,
     calls: &[SystemCall],
     errors: &[ErrorName],
@@ -161,68 +164,72 @@
         on,
         errors: errors.to_vec(),
         rate,
-        lasts: LASTS,
+        lasts: FAULT_DURATION,
     }
 }
 
-/// A fault of system calls on TCP sockets, or of calls that transfer no bytes.
-fn fails(calls: &[SystemCall], errors: &[ErrorName], rate: f64) -> FaultEvent {
-    fails_on(DescriptorKind::Tcp, calls, errors, rate)
+/// Makes system calls on TCP sockets, or calls that transfer no bytes, fail from the start.
+fn call_errors(calls: &[SystemCall], errors: &[ErrorName], rate: f64) -> FaultEvent {
+    call_errors_on(DescriptorKind::Tcp, calls, errors, rate)
 }
 
 fn short_counts(on: DescriptorKind, rate: f64) -> FaultEvent {
     FaultEvent::ShortCounts {
         at: Span(Duration::ZERO),
         part: 1.0,
-        calls: [READS, WRITES].concat(),
+        calls: [READ_CALLS, WRITE_CALLS].concat(),
         on,
         rate,
-        lasts: LASTS,
+        lasts: FAULT_DURATION,
     }
 }
 
-fn interrupted(rate: f64) -> FaultEvent {
-    let others = [
+fn interrupted_calls(rate: f64) -> FaultEvent {
+    let other_calls = [
         SystemCall::Accept4,
         SystemCall::Connect,
         SystemCall::EpollWait,
     ];
-    fails(&[READS, WRITES, others].concat(), &[ErrorName::Eintr], rate)
+    call_errors(
+        &[READ_CALLS, WRITE_CALLS, other_calls].concat(),
+        &[ErrorName::Eintr],
+        rate,
+    )
 }
 
-fn accepts_fail(rate: f64) -> FaultEvent {
-    let of_connection = [ErrorName::Econnaborted, ErrorName::Eproto, ErrorName::Eperm];
-    let errors = [&SHORTAGES[..], &of_connection].concat();
-    fails(&[SystemCall::Accept4], &errors, rate)
+fn accept_errors(rate: f64) -> FaultEvent {
+    let connection_errors = [ErrorName::Econnaborted, ErrorName::Eproto, ErrorName::Eperm];
+    let errors = [&RESOURCE_ERRORS[..], &connection_errors].concat();
+    call_errors(&[SystemCall::Accept4], &errors, rate)
 }
 
-fn connects_fail(rate: f64) -> FaultEvent {
+fn connect_errors(rate: f64) -> FaultEvent {
     let errors = [
         ErrorName::Eaddrnotavail,
         ErrorName::Enetunreach,
         ErrorName::Enobufs,
         ErrorName::Enomem,
     ];
-    fails(&[SystemCall::Connect], &errors, rate)
+    call_errors(&[SystemCall::Connect], &errors, rate)
 }
 
-fn listens_fail(rate: f64) -> FaultEvent {
+fn listen_errors(rate: f64) -> FaultEvent {
     let errors = [ErrorName::Eaddrinuse, ErrorName::Enobufs, ErrorName::Enomem];
-    fails(&[SystemCall::Bind, SystemCall::Listen], &errors, rate)
+    call_errors(&[SystemCall::Bind, SystemCall::Listen], &errors, rate)
 }
 
-fn files_fail(rate: f64) -> Vec<FaultEvent> {
-    let opens = [SystemCall::Open, SystemCall::Openat];
+fn file_errors(rate: f64) -> Vec<FaultEvent> {
+    let open_calls = [SystemCall::Open, SystemCall::Openat];
     let open_errors = [ErrorName::Emfile, ErrorName::Enfile, ErrorName::Eio];
     let read_errors = [ErrorName::Eio, ErrorName::Eintr];
     vec![
-        fails(&opens, &open_errors, rate),
-        fails_on(DescriptorKind::File, &READS, &read_errors, rate),
+        call_errors(&open_calls, &open_errors, rate),
+        call_errors_on(DescriptorKind::File, &READ_CALLS, &read_errors, rate),
         short_counts(DescriptorKind::File, rate),
     ]
 }
 
-fn log_fails(rate: f64) -> Vec<FaultEvent> {
+fn log_errors(rate: f64) -> Vec<FaultEvent> {
     let errors = [
         ErrorName::Enospc,
         ErrorName::Eio,
@@ -230,23 +237,25 @@
         ErrorName::Eintr,
     ];
     vec![
-        fails_on(DescriptorKind::Log, &WRITES, &errors, rate),
+        call_errors_on(DescriptorKind::Log, &WRITE_CALLS, &errors, rate),
         short_counts(DescriptorKind::Log, rate),
     ]
 }
 
-/// One half of the nodes has a clock that is ahead, and another half, drawn by itself, one that is behind.
+/// Sets the clocks of half of the nodes ahead, and those of half of the nodes behind. The two halves are drawn
+/// independently.
 fn clock_offset() -> Vec<FaultEvent> {
     let step = |by_s| FaultEvent::StepClock {
         at: Span(Duration::ZERO),
         who: ClockOwner::Nodes,
-        part: NODES_WITH_OTHER_CLOCKS,
+        part: AFFECTED_NODE_FRACTION,
         by_s,
     };
     vec![step(CLOCK_OFFSET_S), step(-CLOCK_OFFSET_S / 2.0)]
 }
 
-/// Half of the nodes, then the list service, then all are stepped, at each quarter of the scenario.
+/// Steps the clocks of half of the nodes, then of the discovery service, then of all, after one, two and three quarters
+/// of the scenario.
 fn clock_steps(length: Span) -> Vec<FaultEvent> {
     let step = |quarter, who, part, by_s| FaultEvent::StepClock {
         at: Span(length.0 * quarter / 4),
@@ -255,12 +264,7 @@
         by_s,
     };
     vec![
-        step(
-            1,
-            ClockOwner::Nodes,
-            NODES_WITH_OTHER_CLOCKS,
-            CLOCK_OFFSET_S,
-        ),
+        step(1, ClockOwner::Nodes, AFFECTED_NODE_FRACTION, CLOCK_OFFSET_S),
         step(2, ClockOwner::Discovery, 1.0, -CLOCK_OFFSET_S),
         step(3, ClockOwner::All, 1.0, -CLOCK_OFFSET_S),
     ]
--- a/crates/testbed/src/fault_matrix/mod.rs
+++ b/crates/testbed/src/fault_matrix/mod.rs
@@ -1,5 +1,5 @@
-//! Runs scenarios on sockets with each kind of faults of system calls and clocks, at several rates and with many seeds,
-//! beside the same runs without faults.
+//! Runs scenarios on real sockets with each kind of system call and clock fault, at several rates and with many seeds,
+//! and compares them with runs of the same seeds without these faults.
 
 mod kind;
 mod outcome;
@@ -17,46 +17,46 @@
 use crate::sockets::shared::lock;
 use crate::sockets::{self, Options, SocketError};
 
-/// A scenario of a matrix.
+/// A scenario with its name.
 #[derive(Debug, Clone)]
 pub struct NamedScenario {
-    /// Its name.
+    /// The name, as printed in tables.
     pub name: String,
     /// The scenario.
     pub scenario: Scenario,
 }
 
-/// What a matrix runs.
+/// The combinations of scenarios, faults, rates and seeds to run.
 #[derive(Debug, Clone)]
 pub struct FaultMatrix {
     /// The scenarios.
     pub scenarios: Vec<NamedScenario>,
     /// The kinds of faults.
     pub kinds: Vec<FaultKind>,
-    /// The fractions of the calls that are hit.
+    /// The fractions of the system calls that faults affect.
     pub rates: Vec<f64>,
     /// The seeds.
     pub seeds: Range<u64>,
 }
 
-/// What the runs need.
+/// Settings that all runs share.
 #[derive(Debug, Clone)]
 pub struct MatrixOptions {
     /// The `cache-router` program.
     pub program: PathBuf,
-    /// An existing folder, in which each run has one of its own for its nodes' configurations and logs.
+    /// An existing folder. Each run keeps the configurations and logs of its nodes in a subfolder.
     pub folder: PathBuf,
-    /// Runs at the same time.
+    /// Number of concurrent runs.
     pub jobs: usize,
 }
 
-/// Why a matrix was not run to its end.
+/// Why a matrix was not completed.
 #[derive(Debug, thiserror::Error)]
 pub enum MatrixError {
-    /// A run was not possible or was interrupted.
+    /// A run could not be completed or was interrupted.
     #[error(transparent)]
     Run(#[from] SocketError),
-    /// A run without faults did not start, so that there is nothing to compare with.
+    /// A node did not start in a run without injected faults, so that there is no baseline to compare with.
     #[error("{scenario}, seed {seed}, without faults: {reason}")]
     Baseline {
         /// Name of the scenario.
@@ -72,17 +72,17 @@
 }
 
 impl FaultMatrix {
-    /// Runs all cases, and reports each when its runs have ended.
+    /// Runs all cases, and calls `on_case_completed` after the runs of each.
     ///
     /// # Errors
-    /// Where a run is not possible, is interrupted, or fails without faults.
+    /// If a run can't be completed or is interrupted, or if a node does not start in a run without injected faults.
     pub fn run(
         &self,
         options: &MatrixOptions,
-        mut case_ended: impl FnMut(&CaseOutcome),
+        mut on_case_completed: impl FnMut(&CaseOutcome),
     ) -> Result<(), MatrixError> {
         for named in &self.scenarios {
-            let baseline = self.baseline(named, options)?;
+            let baseline = self.run_baseline(named, options)?;
             for case in self.cases(named) {
                 let events = case
                     .kind
@@ -92,7 +92,7 @@
                     None => format!("{}-{}", named.name, case.kind),
                 };
                 let runs = self.run_seeds(named, &events, &options.folder.join(label), options)?;
-                case_ended(&CaseOutcome::new(case, &baseline, &runs));
+                on_case_completed(&CaseOutcome::new(case, &baseline, &runs));
             }
         }
         Ok(())
@@ -116,8 +116,8 @@
         cases
     }
 
-    /// The runs of a scenario without faults of system calls, by seed.
-    fn baseline(
+    /// Runs a scenario without injected faults, once with each seed.
+    fn run_baseline(
         &self,
         named: &NamedScenario,
         options: &MatrixOptions,
@@ -125,7 +125,7 @@
         let folder = options.folder.join(&named.name);
         let runs = self.run_seeds(named, &[], &folder, options)?;
         let summary = |(seed, run)| match run {
-            RunOutcome::Ended(summary) => Ok(summary),
+            RunOutcome::Completed(summary) => Ok(summary),
             RunOutcome::NotStarted { reason } => Err(MatrixError::Baseline {
                 scenario: named.name.clone(),
                 seed,
@@ -135,7 +135,7 @@
         self.seeds.clone().zip(runs).map(summary).collect()
     }
 
-    /// Runs a scenario with some faults more, once with each seed.
+    /// Runs a scenario with additional faults, once with each seed. Returns the outcomes in the order of the seeds.
     fn run_seeds(
         &self,
         named: &NamedScenario,
@@ -146,19 +146,19 @@
         let mut scenario = named.scenario.clone();
         scenario.faults.extend_from_slice(events);
         let seeds: Vec<u64> = self.seeds.clone().collect();
-        let next = AtomicUsize::new(0);
+        let next_index = AtomicUsize::new(0);
         let outcomes = Mutex::new(Vec::new());
         std::thread::scope(|scope| {
             for _ in 0..options.jobs.clamp(1, seeds.len().max(1)) {
                 scope.spawn(|| {
-                    while let Some(seed) = seeds.get(next.fetch_add(1, Ordering::Relaxed)) {
+                    while let Some(seed) = seeds.get(next_index.fetch_add(1, Ordering::Relaxed)) {
                         let folder = folder.join(seed.to_string());
                         let outcome = run_once(&scenario, *seed, &folder, &options.program);
                         let failed = outcome.is_err();
                         lock(&outcomes).push((*seed, outcome));
                         if failed {
-                            // No further runs: the matrix can't be completed.
-                            next.store(seeds.len(), Ordering::Relaxed);
+                            // Start no further runs: the matrix can't be completed.
+                            next_index.store(seeds.len(), Ordering::Relaxed);
                         }
                     }
                 });
@@ -170,7 +170,7 @@
     }
 }
 
-/// Runs a scenario with a seed; Ctrl-C interrupts it.
+/// Runs a scenario with one seed, until it ends or Ctrl-C interrupts it.
 fn run_once(
     scenario: &Scenario,
     seed: u64,
@@ -182,10 +182,10 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    let interrupted = async { drop(tokio::signal::ctrl_c().await) };
-    let run = sockets::run(scenario, seed, &options, interrupted, |_| ());
+    let ctrl_c = async { drop(tokio::signal::ctrl_c().await) };
+    let run = sockets::run(scenario, seed, &options, ctrl_c, |_| ());
     match runtime.block_on(run) {
-        Ok(report) => Ok(RunOutcome::Ended(RunSummary::of(&report))),
+        Ok(report) => Ok(RunOutcome::Completed(RunSummary::of(&report))),
         Err(error @ SocketError::NotReady { .. }) => Ok(RunOutcome::NotStarted {
             reason: error.to_string(),
         }),
--- a/crates/testbed/src/fault_matrix/outcome.rs
+++ b/crates/testbed/src/fault_matrix/outcome.rs
@@ -1,67 +1,68 @@
-//! What the runs of one case of the matrix show beside those without faults, and which goals it misses.
+//! Compares the runs of one case of the matrix with the runs without faults, and finds the goals that the case misses.
 
 use std::fmt::{self, Display, Formatter};
 
 use super::FaultKind;
 use crate::report::{Counts, Report};
 
-/// Up to this rate, the service may fall by [`MAX_LOSS_AT_LOW_RATE`] and latencies by [`MAX_LATENCY_RATIO`].
+/// Up to this rate, the service level may be at most [`MAX_LOSS_AT_LOW_RATE`] lower than without faults, and the 99th
+/// percentile of latencies at most [`MAX_LATENCY_RATIO`] times as high.
 const LOW_RATE: f64 = 0.01;
 const MAX_LOSS_AT_LOW_RATE: f64 = 0.01;
 const MAX_LATENCY_RATIO: f64 = 1.5;
-/// Up to this rate, the service may fall by [`MAX_LOSS_AT_MIDDLE_RATE`].
+/// Up to this rate, the service level may be at most [`MAX_LOSS_AT_MIDDLE_RATE`] lower than without faults.
 const MIDDLE_RATE: f64 = 0.05;
 const MAX_LOSS_AT_MIDDLE_RATE: f64 = 0.05;
 
-/// A kind of faults at a rate in a scenario.
+/// A kind of fault, injected at a rate into a scenario.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Case {
     /// Name of the scenario.
     pub scenario: String,
-    /// The kind.
+    /// The kind of fault.
     pub kind: FaultKind,
-    /// The fraction of the calls that it hits; none for a kind without one.
+    /// The fraction of the calls that it affects; `None` for a kind without a rate.
     pub rate: Option<f64>,
 }
 
-/// What is kept of one run.
+/// The outcome of one run.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RunOutcome {
-    /// It went to its end.
-    Ended(RunSummary),
+    /// The run was completed.
+    Completed(RunSummary),
     /// A node did not start.
     NotStarted {
-        /// Why, by the last line of its log.
+        /// The reason, with the last line of the node's log.
         reason: String,
     },
 }
 
-/// The figures of a run that went to its end.
+/// The results of a completed run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RunSummary {
     /// The service level.
     pub service: f64,
-    /// The 99th percentile of the latency of the class with most requests, in microseconds.
+    /// The 99th percentile of latencies of the class with the most requests, in microseconds.
     pub p99_us: u64,
-    /// Number of violations.
+    /// Number of invariant violations.
     pub violation_count: usize,
-    /// The first violation, in words.
+    /// The first violation, as text.
     pub first_violation: Option<String>,
-    /// System calls that were hit, and readings of clocks that were off.
+    /// Number of faults injected: affected system calls and readings of wrong clocks.
     pub injected: u64,
 }
 
 impl RunSummary {
-    /// The figures of a report.
+    /// Summarizes a report.
     pub fn of(report: &Report) -> RunSummary {
         let classes = report.classes.values();
-        let largest = classes.max_by_key(|class| {
+        let busiest_class = classes.max_by_key(|class| {
             let Counts { requests, .. } = class.counts;
             requests
         });
         RunSummary {
             service: report.service,
-            p99_us: largest.map_or(0, |class| class.latency.p99_us),
+            p99_us: busiest_class.map_or(0, |class| class.latency.p99_us),
             violation_count: report.violation_count,
             first_violation: report.violations.first().cloned(),
             injected: report
@@ -73,26 +74,26 @@
     }
 }
 
-/// The runs of a case beside the runs of the same seeds without faults.
+/// The runs of a case compared with the runs of the same seeds without faults.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CaseOutcome {
     /// The case.
     pub case: Case,
     /// Number of runs.
     pub runs: usize,
-    /// Runs in which a node did not start.
+    /// Number of runs in which a node did not start.
     pub not_started: usize,
-    /// Mean service level of the runs that started.
+    /// Mean service level of the runs in which all nodes started.
     pub service: f64,
     /// Mean service level of the same seeds without faults.
     pub baseline_service: f64,
-    /// Median over the seeds of the 99th percentile of latencies over that without faults.
+    /// The ratio of the 99th percentile of latencies to that without faults: the median over the seeds.
     pub p99_ratio: f64,
-    /// Violations over all runs.
+    /// Number of invariant violations in all runs.
     pub violation_count: usize,
-    /// System calls that were hit over all runs, and readings of clocks that were off.
+    /// Number of faults injected in all runs: affected system calls and readings of wrong clocks.
     pub injected: u64,
-    /// The first violation, or why a node did not start, in words.
+    /// The first violation, or the reason why a node did not start, as text.
     pub first_problem: Option<String>,
 }
 
@@ -100,22 +101,22 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MissedGoal {
     /// A node did not start.
-    Starts,
-    /// A rule was broken.
-    Rules,
-    /// The service fell too far.
+    Startup,
+    /// An invariant was violated.
+    Invariants,
+    /// The service level is too far below the baseline.
     Service,
-    /// Latencies rose too far.
+    /// The 99th percentile of latencies is too high.
     Latency,
-    /// Nothing was injected, so that nothing was tested.
+    /// No fault was injected, so that nothing was tested.
     Injection,
 }
 
 impl Display for MissedGoal {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            MissedGoal::Starts => "starts",
-            MissedGoal::Rules => "rules",
+            MissedGoal::Startup => "starts",
+            MissedGoal::Invariants => "rules",
             MissedGoal::Service => "service",
             MissedGoal::Latency => "p99",
             MissedGoal::Injection => "nothing injected",
@@ -124,7 +125,7 @@
 }
 
 impl CaseOutcome {
-    /// Compares the runs of a case with those without faults, which are in the order of the same seeds.
+    /// Compares the runs of a case with those without faults. Both are in the order of the same seeds.
     pub fn new(case: Case, baseline: &[RunSummary], runs: &[RunOutcome]) -> CaseOutcome {
         let mut outcome = CaseOutcome {
             case,
@@ -138,53 +139,53 @@
             first_problem: None,
         };
         let mut ratios = Vec::new();
-        for (without, run) in baseline.iter().zip(runs) {
+        for (baseline_run, run) in baseline.iter().zip(runs) {
             match run {
                 RunOutcome::NotStarted { reason } => {
                     outcome.not_started += 1;
                     outcome.first_problem.get_or_insert(reason.clone());
                 }
-                RunOutcome::Ended(with) => {
-                    outcome.add(without, with);
-                    ratios.push(with.p99_us as f64 / without.p99_us.max(1) as f64);
+                RunOutcome::Completed(summary) => {
+                    outcome.add(baseline_run, summary);
+                    ratios.push(summary.p99_us as f64 / baseline_run.p99_us.max(1) as f64);
                 }
             }
         }
-        let started = ratios.len().max(1) as f64;
-        outcome.service /= started;
-        outcome.baseline_service /= started;
+        let completed_runs = ratios.len().max(1) as f64;
+        outcome.service /= completed_runs;
+        outcome.baseline_service /= completed_runs;
         ratios.sort_by(f64::total_cmp);
         outcome.p99_ratio = ratios.get(ratios.len() / 2).copied().unwrap_or(0.0);
         outcome
     }
 
-    /// Adds a run. The services are sums until all runs are added.
-    fn add(&mut self, without: &RunSummary, with: &RunSummary) {
-        self.service += with.service;
-        self.baseline_service += without.service;
-        self.violation_count += with.violation_count;
-        self.injected += with.injected;
-        if let Some(violation) = &with.first_violation {
+    /// Adds a completed run. The service levels are sums until all runs are added.
+    fn add(&mut self, baseline_run: &RunSummary, run: &RunSummary) {
+        self.service += run.service;
+        self.baseline_service += baseline_run.service;
+        self.violation_count += run.violation_count;
+        self.injected += run.injected;
+        if let Some(violation) = &run.first_violation {
             self.first_problem.get_or_insert(violation.clone());
         }
     }
 
-    /// The goals that it misses.
+    /// The goals that the case misses.
     pub fn missed_goals(&self) -> Vec<MissedGoal> {
-        let lost = self.baseline_service - self.service;
-        // A clock that is off costs nothing: it is judged as the lowest rate.
+        let service_loss = self.baseline_service - self.service;
+        // A wrong clock should have no effect: clock faults have to meet the goals of the lowest rate.
         let rate = self.case.rate.unwrap_or(0.0);
-        let loses_too_much = rate <= LOW_RATE && lost > MAX_LOSS_AT_LOW_RATE
-            || rate <= MIDDLE_RATE && lost > MAX_LOSS_AT_MIDDLE_RATE;
+        let is_service_too_low = rate <= LOW_RATE && service_loss > MAX_LOSS_AT_LOW_RATE
+            || rate <= MIDDLE_RATE && service_loss > MAX_LOSS_AT_MIDDLE_RATE;
         let is_too_slow = rate <= LOW_RATE && self.p99_ratio > MAX_LATENCY_RATIO;
-        let tests_nothing =
-            self.injected == 0 && self.not_started == 0 && self.case.kind.concerns_frequent_calls();
+        let tested_nothing =
+            self.injected == 0 && self.not_started == 0 && self.case.kind.affects_frequent_calls();
         let goals = [
-            (MissedGoal::Starts, self.not_started > 0),
-            (MissedGoal::Rules, self.violation_count > 0),
-            (MissedGoal::Service, loses_too_much),
+            (MissedGoal::Startup, self.not_started > 0),
+            (MissedGoal::Invariants, self.violation_count > 0),
+            (MissedGoal::Service, is_service_too_low),
             (MissedGoal::Latency, is_too_slow),
-            (MissedGoal::Injection, tests_nothing),
+            (MissedGoal::Injection, tested_nothing),
         ];
         let missed = goals.into_iter().filter(|(_, missed)| *missed);
         missed.map(|(goal, _)| goal).collect()
--- a/crates/testbed/tests/system_call_faults.rs
+++ b/crates/testbed/tests/system_call_faults.rs
@@ -1,5 +1,6 @@
-//! Faults of system calls: scenarios that name impossible ones are rejected, the injector does to a process what its plan
-//! says, and nodes on sockets bear them. Nothing here depends on the speed of the machine.
+//! System call and clock faults: scenarios with invalid ones are rejected, the fault injector applies its plan to a
+//! process, and nodes (`cache-router` processes) on real sockets tolerate them. No test depends on the speed of the
+//! machine.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -27,14 +28,16 @@
 
 use socket_run::run_scenario;
 
-/// Tells this program that it is the child of a test, and what it is to do.
+/// The environment variable that makes this program the child process of a test. Its value selects the work of the
+/// child.
 const CHILD_VARIABLE: &str = "SYSTEM_CALL_FAULTS_CHILD";
-/// Calls that a child makes.
+/// Number of calls that a child makes.
 const CALLS: usize = 400;
-/// Writes of a child to each kind of descriptor, few enough for the buffers of those that nobody reads.
-const WRITES: usize = 100;
+/// Number of writes of a child to each kind of descriptor. The data fits into the buffers of descriptors that nobody
+/// reads.
+const WRITES_PER_DESCRIPTOR: usize = 100;
 
-// Scenario files.
+// Validation of scenario files.
 
 struct InvalidFault {
     fault: &'static str,
@@ -81,7 +84,7 @@
 ];
 
 #[test]
-fn an_impossible_fault_of_system_calls_is_rejected_with_what_to_write() {
+fn an_invalid_system_call_fault_is_rejected_with_the_valid_values() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("scenario.toml");
     let demo = scenarios().join("demo.toml");
@@ -98,7 +101,7 @@
 }
 
 #[test]
-fn in_virtual_time_faults_of_system_calls_and_clocks_change_nothing() {
+fn system_call_and_clock_faults_have_no_effect_in_virtual_time() {
     let mut scenario = Scenario::read(&scenarios().join("faults/calm.toml")).unwrap();
     let without = testbed::virtual_time::run(&scenario, 5);
     for kind in FaultKind::ALL {
@@ -111,9 +114,9 @@
     assert!(!json.contains("injected"), "{json}");
 }
 
-// The injector, in a child process: this program itself.
+// The fault injector, preloaded into a child process that runs this test program again.
 
-/// Runs a test of this program again as a process with a plan. The test then does [`child_work`].
+/// Starts this program with a fault plan, to run a single test. In that process, the test only does [`child_work`].
 fn child(test: &str, work: &str, plan: &Plan) -> Child {
     let mut command = child_command(test, work, plan);
     command.stdout(Stdio::piped()).spawn().unwrap()
@@ -131,7 +134,7 @@
     command
 }
 
-/// What a child writes: a line for each result, marked so as to be told from those of the test harness.
+/// The prefix of a line with a result of a child. It distinguishes the line from output of the test harness.
 const RESULT: &str = "result ";
 
 fn results(child: Child) -> Vec<String> {
@@ -142,84 +145,85 @@
     results.map(|(_, result)| result.to_string()).collect()
 }
 
-/// What a child does, if this process is one.
+/// Does the work of a child if this process is one. Returns whether it is.
 fn child_work() -> bool {
     let Ok(work) = std::env::var(CHILD_VARIABLE) else {
         return false;
     };
     match work.as_str() {
-        "hits" => println!("\n{RESULT}{}", hits_of_socket_reads()),
-        "short" => println!("\n{RESULT}{}", bytes_of_short_transfers()),
+        "hits" => println!("\n{RESULT}{}", socket_read_results()),
+        "short" => println!("\n{RESULT}{}", short_transfer_counts()),
         "clock" => println!("\n{RESULT}{}", unix_seconds()),
         "switch" => wait_for_errors(),
-        expected => assert_eq!(errors_by_descriptor_kind(), expected),
+        expected => assert_eq!(failed_writes_by_descriptor_kind(), expected),
     }
     true
 }
 
 fn connected_sockets() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let near = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    (near, listener.accept().unwrap().0)
+    let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    (client, listener.accept().unwrap().0)
 }
 
-/// For each of some reads of a socket, its error, or `-` where it had none.
-fn hits_of_socket_reads() -> String {
-    let (mut near, mut far) = connected_sockets();
-    near.write_all(&[0; CALLS]).unwrap();
+/// The results of [`CALLS`] reads from a socket: the error, or `-` for success.
+fn socket_read_results() -> String {
+    let (mut client, mut server) = connected_sockets();
+    client.write_all(&[0; CALLS]).unwrap();
     let mut byte = [0];
-    let read = |_| match far.read(&mut byte) {
+    let read = |_| match server.read(&mut byte) {
         Ok(_) => "-".to_string(),
         Err(error) => format!("{:?}", error.kind()),
     };
     (0..CALLS).map(read).collect::<Vec<_>>().join(" ")
 }
 
-/// How many writes to a file, a pipe, standard error, a TCP and a Unix socket fail.
-fn errors_by_descriptor_kind() -> String {
+/// The numbers of failed writes to a file, a pipe, standard error, a TCP socket and a Unix socket.
+fn failed_writes_by_descriptor_kind() -> String {
     let file = tempfile::tempfile().unwrap();
     let (_reader, pipe) = std::io::pipe().unwrap();
-    let (near, _far) = connected_sockets();
+    let (client, _server) = connected_sockets();
     let (unix, _other) = UnixStream::pair().unwrap();
     let mut written_to: [Box<dyn Write>; 5] = [
         Box::new(file),
         Box::new(pipe),
         Box::new(std::io::stderr()),
-        Box::new(near),
+        Box::new(client),
         Box::new(unix),
     ];
     let failures = written_to.iter_mut().map(|writer| {
-        let failed = (0..WRITES).filter(|_| writer.write(b"x").is_err());
+        let failed = (0..WRITES_PER_DESCRIPTOR).filter(|_| writer.write(b"x").is_err());
         failed.count().to_string()
     });
     failures.collect::<Vec<_>>().join(" ")
 }
 
-/// How many reads bring the bytes of messages of 100 bytes, how many writes it takes to write them, and whether all come.
-fn bytes_of_short_transfers() -> String {
-    let (mut near, mut far) = connected_sockets();
+/// Sends [`CALLS`] messages of 100 bytes over a socket. Returns the numbers of reads, of writes and of bytes received
+/// correctly.
+fn short_transfer_counts() -> String {
+    let (mut client, mut server) = connected_sockets();
     let (mut reads, mut writes, mut received) = (0, 0, Vec::new());
     for number in 0..CALLS {
         let message = [number as u8; 100];
         let mut written = 0;
         while written < message.len() {
-            written += near.write(&message[written..]).unwrap();
+            written += client.write(&message[written..]).unwrap();
             writes += 1;
         }
         let mut buffer = [0; 4096];
-        let until = (number + 1) * message.len();
-        while received.len() < until {
-            let length = far.read(&mut buffer).unwrap();
+        let expected_length = (number + 1) * message.len();
+        while received.len() < expected_length {
+            let length = server.read(&mut buffer).unwrap();
             assert!(length > 0);
             received.extend_from_slice(&buffer[..length]);
             reads += 1;
         }
     }
-    let in_order = received.iter().enumerate();
-    let whole = in_order
-        .filter(|(place, byte)| **byte == (place / 100) as u8)
+    let numbered_bytes = received.iter().enumerate();
+    let correct = numbered_bytes
+        .filter(|(position, byte)| **byte == (position / 100) as u8)
         .count();
-    format!("{reads} {writes} {whole}")
+    format!("{reads} {writes} {correct}")
 }
 
 fn unix_seconds() -> u64 {
@@ -227,7 +231,7 @@
     since_epoch.as_secs()
 }
 
-/// Reads a file until a read fails; says when it has begun.
+/// Prints `begun` after successful reads, then reads a file until a read fails.
 fn wait_for_errors() {
     let mut file = std::fs::File::open("/dev/null").unwrap();
     let mut regular = tempfile::tempfile().unwrap();
@@ -251,7 +255,7 @@
     }
 }
 
-fn reads_interrupted(rate: f64) -> Fault {
+fn receive_errors(rate: f64) -> Fault {
     let errors = vec![ErrorName::Eio, ErrorName::Econnreset];
     fault(
         &[SystemCall::Recv],
@@ -262,12 +266,12 @@
 }
 
 #[test]
-fn which_calls_fail_follows_from_the_seed_and_is_counted() {
+fn the_seed_determines_which_calls_fail_and_failures_are_counted() {
     if child_work() {
         return;
     }
     let folder = tempfile::tempdir().unwrap();
-    let test = "which_calls_fail_follows_from_the_seed_and_is_counted";
+    let test = "the_seed_determines_which_calls_fail_and_failures_are_counted";
     let run = |name: &str, seed: u64, fault: Fault| {
         let state = folder.path().join(name);
         let plan = Plan {
@@ -279,50 +283,53 @@
         let hits = results(child(test, "hits", &plan)).join("");
         (hits, counts(&state))
     };
-    let (hits, (calls, injected)) = run("one", 1, reads_interrupted(0.2));
+    let (hits, (calls, injected)) = run("first run", 1, receive_errors(0.2));
     let failed = hits.split(' ').filter(|hit| *hit != "-").count() as u64;
     assert_eq!((calls, injected), (CALLS as u64, failed));
-    assert!((40..=120).contains(&injected), "one in five of 400: {hits}");
+    assert!(
+        (40..=120).contains(&injected),
+        "about one in five of 400 calls: {hits}"
+    );
     assert!(hits.contains("ConnectionReset"), "{hits}");
-    assert_eq!(run("same", 1, reads_interrupted(0.2)).0, hits);
-    assert_ne!(run("other", 2, reads_interrupted(0.2)).0, hits);
-    let over = Fault {
+    assert_eq!(run("same seed", 1, receive_errors(0.2)).0, hits);
+    assert_ne!(run("other seed", 2, receive_errors(0.2)).0, hits);
+    let expired = Fault {
         until_ms: Some(0),
-        ..reads_interrupted(1.0)
+        ..receive_errors(1.0)
     };
-    let to_come = Fault {
+    let not_started = Fault {
         from_ms: 3_600_000,
-        ..reads_interrupted(1.0)
+        ..receive_errors(1.0)
     };
-    for (name, fault) in [("over", over), ("to come", to_come)] {
+    for (name, fault) in [("expired", expired), ("not started", not_started)] {
         assert_eq!(run(name, 1, fault).1, (0, 0), "{name}");
     }
 }
 
-/// Calls that the first fault of a state file could hit, and did hit.
+/// From a state file: the number of calls that its first fault applied to, and the number of faults injected.
 fn counts(state: &Path) -> (u64, u64) {
     let bytes = std::fs::read(state).unwrap();
     let slot = |slot: usize| {
-        let place = slot * fault_plan::layout::SLOT_BYTES;
-        u64::from_ne_bytes(bytes[place..][..8].try_into().unwrap())
+        let position = slot * fault_plan::layout::SLOT_BYTES;
+        u64::from_ne_bytes(bytes[position..][..8].try_into().unwrap())
     };
     use fault_plan::layout::{calls, injected};
     (slot(calls(0)), slot(injected(0)))
 }
 
 #[test]
-fn a_fault_hits_the_kind_of_descriptor_that_it_names_and_no_other() {
+fn a_fault_affects_only_the_kind_of_descriptor_that_it_names() {
     if child_work() {
         return;
     }
-    let test = "a_fault_hits_the_kind_of_descriptor_that_it_names_and_no_other";
+    let test = "a_fault_affects_only_the_kind_of_descriptor_that_it_names";
     let kinds = [
         (DescriptorKind::File, "100 0 0 0 0"),
         (DescriptorKind::Pipe, "0 100 0 0 0"),
         (DescriptorKind::Log, "0 0 100 0 0"),
         (DescriptorKind::Tcp, "0 0 0 100 0"),
     ];
-    // The child checks by itself: what it writes results to would be hit too.
+    // The child checks its result itself, because the fault would also affect writes of the result.
     for (kind, expected) in kinds {
         let errors = Effect::Errors(vec![ErrorName::Enospc]);
         let writes = [SystemCall::Write, SystemCall::Send];
@@ -343,30 +350,30 @@
         return;
     }
     let test = "short_counts_transfer_all_bytes_in_more_calls";
-    let all = (CALLS * 100).to_string();
+    let expected_bytes = (CALLS * 100).to_string();
     let transfers = [SystemCall::Recv, SystemCall::Send];
     let plan = |rate| Plan {
         faults: vec![fault(&transfers, DescriptorKind::Tcp, Effect::Short, rate)],
         ..Plan::default()
     };
-    let whole = results(child(test, "short", &plan(0.0))).join("");
-    assert_eq!(whole, format!("{CALLS} {CALLS} {all}"));
-    let short = results(child(test, "short", &plan(0.5))).join("");
-    let figures: Vec<&str> = short.split(' ').collect();
-    let calls = |place: usize| figures[place].parse::<usize>().unwrap();
+    let without_faults = results(child(test, "short", &plan(0.0))).join("");
+    assert_eq!(without_faults, format!("{CALLS} {CALLS} {expected_bytes}"));
+    let with_faults = results(child(test, "short", &plan(0.5))).join("");
+    let figures: Vec<&str> = with_faults.split(' ').collect();
+    let calls = |position: usize| figures[position].parse::<usize>().unwrap();
     assert!(
         calls(0) > CALLS * 3 / 2 && calls(1) > CALLS * 3 / 2,
-        "{short}"
+        "{with_faults}"
     );
-    assert_eq!(figures[2], all);
+    assert_eq!(figures[2], expected_bytes);
 }
 
 #[test]
-fn the_wall_clock_is_off_by_the_step_and_faults_are_switched_while_a_process_runs() {
+fn the_wall_clock_is_stepped_and_faults_are_switched_on_while_a_process_runs() {
     if child_work() {
         return;
     }
-    let test = "the_wall_clock_is_off_by_the_step_and_faults_are_switched_while_a_process_runs";
+    let test = "the_wall_clock_is_stepped_and_faults_are_switched_on_while_a_process_runs";
     for offset_s in [7_200, -7_200] {
         let step = |at_ms, offset_s: i64| ClockStep {
             at_ms,
@@ -377,10 +384,10 @@
             ..Plan::default()
         };
         let before = unix_seconds();
-        let told: u64 = results(child(test, "clock", &plan))[0].parse().unwrap();
+        let reported: u64 = results(child(test, "clock", &plan))[0].parse().unwrap();
         let range = before..=unix_seconds();
-        let right = told.saturating_add_signed(-offset_s);
-        assert!(range.contains(&right), "{told} {range:?}");
+        let corrected = reported.saturating_add_signed(-offset_s);
+        assert!(range.contains(&corrected), "{reported} {range:?}");
     }
     let folder = tempfile::tempdir().unwrap();
     let state_path = folder.path().join("state");
@@ -409,14 +416,15 @@
     assert_eq!((counts.calls, counts.injected), (1, 1));
 }
 
-// Nodes on sockets.
+// Nodes on real sockets.
 
 fn millis(millis: u64) -> Span {
     Span(Duration::from_millis(millis))
 }
 
-/// Six nodes for three seconds, whose latency objectives are so long that a slow machine meets them too.
-fn fleet(name: &str) -> Scenario {
+/// A scenario of the fault matrix, of six nodes for four seconds. The request rate is low and the latency objectives
+/// are so long that a slow machine meets them.
+fn scenario_for_slow_machines(name: &str) -> Scenario {
     let path = scenarios().join(format!("faults/{name}.toml"));
     let mut scenario = Scenario::read(&path).unwrap();
     scenario.load.per_s = 60.0;
@@ -427,7 +435,7 @@
     scenario
 }
 
-fn play(scenario: &Scenario, seed: u64) -> Result<Report, SocketError> {
+fn run_with_seed(scenario: &Scenario, seed: u64) -> Result<Report, SocketError> {
     let folder = tempfile::tempdir().unwrap();
     run_scenario(
         scenario,
@@ -442,7 +450,7 @@
     report.windows.iter().map(count).sum()
 }
 
-/// A scenario with a kind of faults at a rate, and a seed.
+/// A scenario, the kind and rate of the faults injected into it, and a seed.
 struct FaultCase {
     scenario: &'static str,
     kind: FaultKind,
@@ -450,12 +458,12 @@
     seed: u64,
 }
 
-/// What went wrong in a run, in words; nothing if all is well.
-fn problem(case: &FaultCase) -> Option<String> {
-    let mut scenario = fleet(case.scenario);
+/// Runs a case. Returns the error of the run or the first failed check, or `None` if all checks pass.
+fn run_and_check(case: &FaultCase) -> Option<String> {
+    let mut scenario = scenario_for_slow_machines(case.scenario);
     let events = case.kind.events(case.rate, scenario.length);
     scenario.faults.extend(events);
-    let report = match play(&scenario, case.seed) {
+    let report = match run_with_seed(&scenario, case.seed) {
         Ok(report) => report,
         Err(error) => return Some(error.to_string()),
     };
@@ -470,18 +478,18 @@
     let injected: u64 = report.injected_faults.iter().map(|f| f.injected).sum();
     let checks = [
         (
-            "not each request ended once",
+            "a request did not end exactly once",
             ended == sum(&report, |counts| counts.requests),
         ),
-        ("rules were broken", report.invariants_hold()),
-        ("requests were not served", report.service > 0.95),
-        ("nothing was injected", injected > 0),
+        ("invariants were violated", report.invariants_hold()),
+        ("the service level is too low", report.service > 0.95),
+        ("no fault was injected", injected > 0),
     ];
     let failed = checks.iter().find(|(_, holds)| !holds)?;
     Some(format!("{}: {report}", failed.0))
 }
 
-fn assert_borne(cases: &[FaultCase]) {
+fn assert_tolerated(cases: &[FaultCase]) {
     let problems: Vec<String> = cases
         .iter()
         .filter_map(|case| {
@@ -491,7 +499,7 @@
                 rate,
                 seed,
             } = case;
-            let problem = problem(case)?;
+            let problem = run_and_check(case)?;
             Some(format!(
                 "{scenario}, {kind} at {rate}, seed {seed}: {problem}"
             ))
@@ -510,8 +518,8 @@
 }
 
 #[test]
-fn nodes_bear_connections_that_are_not_accepted_or_made() {
-    assert_borne(&[
+fn nodes_tolerate_failures_of_accept_and_connect() {
+    assert_tolerated(&[
         case("burst", FaultKind::Accepts, 0.05, 1),
         case("calm", FaultKind::Accepts, 0.2, 3),
         case("kill", FaultKind::Connects, 0.05, 2),
@@ -520,8 +528,8 @@
 }
 
 #[test]
-fn nodes_bear_a_log_that_is_not_written_and_clocks_that_are_off() {
-    assert_borne(&[
+fn nodes_tolerate_log_write_failures_and_clock_steps() {
+    assert_tolerated(&[
         case("drain", FaultKind::Log, 0.2, 6),
         case("kill", FaultKind::ClockOffset, 1.0, 4),
         case("list", FaultKind::ClockSteps, 1.0, 5),
@@ -530,8 +538,8 @@
 }
 
 #[test]
-fn nodes_bear_short_reads_and_writes() {
-    assert_borne(&[
+fn nodes_tolerate_short_reads_and_writes() {
+    assert_tolerated(&[
         case("calm", FaultKind::ShortCounts, 0.05, 3),
         case("drain", FaultKind::ShortCounts, 0.2, 6),
         case("kill", FaultKind::ShortCounts, 0.5, 5),
@@ -539,8 +547,8 @@
 }
 
 #[test]
-fn nodes_bear_interrupted_calls() {
-    assert_borne(&[
+fn nodes_tolerate_interrupted_calls() {
+    assert_tolerated(&[
         case("restart", FaultKind::Interrupted, 0.01, 4),
         case("calm", FaultKind::Interrupted, 0.05, 3),
         case("kill", FaultKind::Interrupted, 0.2, 5),
@@ -548,8 +556,8 @@
 }
 
 #[test]
-fn nodes_start_though_sockets_listeners_and_files_fail_at_times() {
-    assert_borne(&[
+fn nodes_start_despite_intermittent_socket_listen_and_file_errors() {
+    assert_tolerated(&[
         case("calm", FaultKind::Sockets, 0.05, 3),
         case("restart", FaultKind::Sockets, 0.2, 4),
         case("calm", FaultKind::Listens, 0.05, 3),
@@ -560,9 +568,9 @@
 }
 
 #[test]
-fn nodes_bear_all_of_these_together() {
-    assert_borne(&[
-        case("kill", FaultKind::Together, 0.01, 3),
-        case("calm", FaultKind::Together, 0.05, 3),
+fn nodes_tolerate_all_faults_combined() {
+    assert_tolerated(&[
+        case("kill", FaultKind::Combined, 0.01, 3),
+        case("calm", FaultKind::Combined, 0.05, 3),
     ]);
 }
