--- a/crates/testbed/src/fleet_sizes/mod.rs
+++ b/crates/testbed/src/fleet_sizes/mod.rs
@@ -1,5 +1,6 @@
-//! What a node needs before fleets of several sizes: the same scenario with more and smaller cache servers, and how far
-//! CPU time, memory, descriptors, connections and lists may grow with them.
+//! Measures how the resource usage of a node (a `cache-router` process) grows with the number of cache servers. The
+//! same scenario is run with more and smaller cache servers, and there are limits for the growth of CPU time, memory,
+//! descriptors, connections and endpoint lists.
 
 mod node_usage;
 mod scaling;
--- a/crates/testbed/src/fleet_sizes/node_usage.rs
+++ b/crates/testbed/src/fleet_sizes/node_usage.rs
@@ -1,33 +1,34 @@
-//! CPU time, memory and descriptors of the nodes of a run, as the kernel counts them.
+//! Reads CPU time, memory and descriptors of a run's node processes from `/proc`.
 
 use std::collections::HashMap;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The unit of the times in `stat`, on Linux the same on all machines.
+/// Clock ticks per second: the unit of CPU times in `/proc/PID/stat`. Linux uses 100 on all machines.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Fields of `stat` between the name of the program and the time in user mode.
-const FIELDS_BEFORE_TIMES: usize = 11;
+/// Number of fields in `/proc/PID/stat` between the program name and the CPU time in user mode.
+const FIELDS_BEFORE_CPU_TIMES: usize = 11;
 
-/// What a node process has needed so far.
+/// Resource usage of a node process so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct NodeUsage {
     /// CPU time of all its threads, in seconds.
     pub cpu_seconds: f64,
-    /// The most memory that it had resident, in bytes.
+    /// Peak resident memory, in bytes.
     pub peak_memory_bytes: f64,
-    /// The most descriptors that were seen open.
+    /// The largest number of open descriptors in any sample.
     pub descriptors: f64,
 }
 
-/// Watches the processes of a run's nodes: those whose configuration is in the run's folder.
+/// Samples the processes of a run's nodes. A process belongs to the run if `ROUTER_CONFIG` in its environment names a
+/// file in the run's folder.
 pub struct NodeUsageSampler {
     folder: PathBuf,
     usage: HashMap<u32, NodeUsage>,
 }
 
 impl NodeUsageSampler {
-    /// A sampler for the nodes with their configurations in a folder.
+    /// A sampler for the nodes whose configurations are in `folder`.
     pub fn new(folder: &Path) -> NodeUsageSampler {
         NodeUsageSampler {
             folder: folder.to_owned(),
@@ -35,30 +36,31 @@
         }
     }
 
-    /// Looks at all node processes that run now. One that has ended keeps what was seen of it last.
+    /// Samples all running node processes. A process that has ended keeps its last sample.
     pub fn sample(&mut self) {
         for process in processes() {
             if !self.usage.contains_key(&process) && !self.is_node(process) {
                 continue;
             }
-            let Some(seen) = usage_of(process) else {
+            let Some(current) = usage_of(process) else {
                 continue;
             };
             let usage = self.usage.entry(process).or_default();
-            usage.cpu_seconds = usage.cpu_seconds.max(seen.cpu_seconds);
-            usage.peak_memory_bytes = usage.peak_memory_bytes.max(seen.peak_memory_bytes);
-            usage.descriptors = usage.descriptors.max(seen.descriptors);
+            usage.cpu_seconds = usage.cpu_seconds.max(current.cpu_seconds);
+            usage.peak_memory_bytes = usage.peak_memory_bytes.max(current.peak_memory_bytes);
+            usage.descriptors = usage.descriptors.max(current.descriptors);
         }
     }
 
-    /// What a node needed in the mean: CPU time of all its processes, memory and descriptors of one of them.
+    /// Mean usage per node. The CPU time of a node is that of all its processes; memory and descriptors are means over
+    /// processes.
     pub fn mean(&self, nodes: u32) -> NodeUsage {
-        let sum = |of: fn(&NodeUsage) -> f64| self.usage.values().map(of).sum::<f64>();
+        let total = |of: fn(&NodeUsage) -> f64| self.usage.values().map(of).sum::<f64>();
         let processes = self.usage.len().max(1) as f64;
         NodeUsage {
-            cpu_seconds: sum(|usage| usage.cpu_seconds) / f64::from(nodes.max(1)),
-            peak_memory_bytes: sum(|usage| usage.peak_memory_bytes) / processes,
-            descriptors: sum(|usage| usage.descriptors) / processes,
+            cpu_seconds: total(|usage| usage.cpu_seconds) / f64::from(nodes.max(1)),
+            peak_memory_bytes: total(|usage| usage.peak_memory_bytes) / processes,
+            descriptors: total(|usage| usage.descriptors) / processes,
         }
     }
 
@@ -73,15 +75,15 @@
 }
 
 fn processes() -> impl Iterator<Item = u32> {
-    numbered_entries("/proc")
+    numeric_entries("/proc")
 }
 
-fn numbered_entries(folder: &str) -> impl Iterator<Item = u32> + use<> {
+fn numeric_entries(folder: &str) -> impl Iterator<Item = u32> + use<> {
     let entries = fs::read_dir(folder).into_iter().flatten().flatten();
     entries.filter_map(|entry| entry.file_name().to_str()?.parse().ok())
 }
 
-/// What a process has needed so far; `None` once it has ended.
+/// Resource usage of a process so far; `None` once it has ended.
 fn usage_of(process: u32) -> Option<NodeUsage> {
     let folder = format!("/proc/{process}");
     let status = fs::read_to_string(format!("{folder}/status")).ok()?;
@@ -93,15 +95,15 @@
         cpu_seconds: cpu_ticks(&fs::read_to_string(format!("{folder}/stat")).ok()?)?
             / TICKS_PER_SECOND,
         peak_memory_bytes: kilobytes * 1024.0,
-        descriptors: numbered_entries(&format!("{folder}/fd")).count() as f64,
+        descriptors: numeric_entries(&format!("{folder}/fd")).count() as f64,
     })
 }
 
-/// Time that a process was on a CPU, in user and kernel mode, from its `stat`.
+/// CPU time of a process in user and kernel mode, in clock ticks, from the text of its `/proc/PID/stat`.
 fn cpu_ticks(stat: &str) -> Option<f64> {
-    // The name of the program, in brackets, may hold spaces.
+    // The program name, in parentheses, may contain spaces.
     let (_, fields) = stat.rsplit_once(')')?;
-    let mut times = fields.split_whitespace().skip(FIELDS_BEFORE_TIMES);
+    let mut times = fields.split_whitespace().skip(FIELDS_BEFORE_CPU_TIMES);
     let user: f64 = times.next()?.parse().ok()?;
     let system: f64 = times.next()?.parse().ok()?;
     Some(user + system)
--- a/crates/testbed/src/fleet_sizes/table.rs
+++ b/crates/testbed/src/fleet_sizes/table.rs
@@ -1,58 +1,59 @@
-//! What a node needs before a larger fleet against the usual one, and how much that may be.
+//! Compares the resource usage of a node with a larger fleet of cache servers to that with the baseline fleet, and
+//! checks it against limits.
 
 use std::fmt::{self, Display, Formatter};
 
-/// Share of the usual one that is served at least.
-const LEAST_SERVICE_RATIO: f64 = 0.85;
-/// Servers for which an allowance is stated.
-const SERVERS_PER_STEP: f64 = 1_000.0;
+/// Minimum ratio of the share served with the larger fleet to that with the baseline fleet.
+const MIN_SERVICE_RATIO: f64 = 0.85;
+/// Number of cache servers that [`Allowance::per_thousand_servers`] refers to.
+const SERVERS_PER_ALLOWANCE: f64 = 1_000.0;
 const MEGABYTE: f64 = 1e6;
 const KILOBYTE: f64 = 1e3;
 
-/// What a node needed in the mean over a run.
+/// Mean resource usage per node in a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FleetUsage {
-    /// Cache servers of the run.
+    /// Number of cache servers in the run.
     pub servers: u32,
     /// CPU time in seconds.
     pub cpu_seconds: f64,
     /// Peak memory in bytes.
     pub peak_memory_bytes: f64,
-    /// The most descriptors at a time.
+    /// Peak number of open descriptors.
     pub descriptors: f64,
-    /// Connections made to cache servers.
+    /// Number of connections opened to cache servers.
     pub server_connections: f64,
-    /// Bytes of lists from discovery.
+    /// Bytes of endpoint lists received from discovery.
     pub list_bytes: f64,
-    /// Share served in time, by priority weight.
+    /// Share of requests served in time, weighted by the priority of their classes.
     pub service: f64,
 }
 
-/// How much of something a node may need before a larger fleet.
+/// The limit of a resource with a larger fleet: the sum of three terms.
 struct Allowance {
-    /// Multiple of what it needs before the usual one,
+    /// Factor that the usage with the baseline fleet is multiplied by.
     multiple: f64,
-    /// plus this,
+    /// Constant term.
     constant: f64,
-    /// plus this for each thousand cache servers.
+    /// Term for each thousand cache servers of the larger fleet.
     per_thousand_servers: f64,
 }
 
 impl Allowance {
-    fn limit(&self, usual: f64, servers: u32) -> f64 {
-        let steps = f64::from(servers) / SERVERS_PER_STEP;
-        usual * self.multiple + self.constant + steps * self.per_thousand_servers
+    fn limit(&self, baseline: f64, servers: u32) -> f64 {
+        let thousands = f64::from(servers) / SERVERS_PER_ALLOWANCE;
+        baseline * self.multiple + self.constant + thousands * self.per_thousand_servers
     }
 }
 
-/// Where a figure stands within what is allowed.
+/// How a value compares with its limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It grew by less than half of what is allowed.
+    /// It grew by at most half of the allowed growth.
     WithinHalf,
-    /// It grew by more than half.
+    /// It grew by more than half of the allowed growth.
     Within,
-    /// It is over the limit.
+    /// It exceeds the limit.
     Exceeded,
 }
 
@@ -68,17 +69,17 @@
 
 struct Row {
     name: &'static str,
-    usual: f64,
+    baseline: f64,
     larger: f64,
     limit: f64,
     verdict: Verdict,
 }
 
 impl Row {
-    /// A figure that may not grow over a limit.
-    fn cost(name: &'static str, usual: f64, larger: f64, limit: f64) -> Row {
-        let half_way = usual + (limit - usual) / 2.0;
-        let verdict = if larger <= half_way {
+    /// A row for a value that must not exceed a limit.
+    fn cost(name: &'static str, baseline: f64, larger: f64, limit: f64) -> Row {
+        let midpoint = baseline + (limit - baseline) / 2.0;
+        let verdict = if larger <= midpoint {
             Verdict::WithinHalf
         } else if larger <= limit {
             Verdict::Within
@@ -87,38 +88,38 @@
         };
         Row {
             name,
-            usual,
+            baseline,
             larger,
             limit,
             verdict,
         }
     }
 
-    /// The share served, which may not fall below a limit.
-    fn service(usual: f64, larger: f64) -> Row {
-        let limit = usual * LEAST_SERVICE_RATIO;
+    /// The row for the share served, which must not be below its limit. The signs are inverted for the comparison.
+    fn service(baseline: f64, larger: f64) -> Row {
+        let limit = baseline * MIN_SERVICE_RATIO;
         Row {
             limit,
-            usual,
+            baseline,
             larger,
-            ..Row::cost("share served", -usual, -larger, -limit)
+            ..Row::cost("share served", -baseline, -larger, -limit)
         }
     }
 }
 
-/// A larger fleet against the usual one.
+/// Compares a larger fleet with the baseline fleet.
 pub struct Comparison {
-    usual_servers: u32,
+    baseline_servers: u32,
     larger_servers: u32,
     rows: Vec<Row>,
 }
 
 impl Comparison {
-    /// Compares what a node needed.
-    pub fn new(usual: &FleetUsage, larger: &FleetUsage) -> Comparison {
+    /// Compares the resource usage per node.
+    pub fn new(baseline: &FleetUsage, larger: &FleetUsage) -> Comparison {
         let cost = |name, of: fn(&FleetUsage) -> f64, unit: f64, allowance: Allowance| {
-            let limit = allowance.limit(of(usual), larger.servers);
-            Row::cost(name, of(usual) / unit, of(larger) / unit, limit / unit)
+            let limit = allowance.limit(of(baseline), larger.servers);
+            Row::cost(name, of(baseline) / unit, of(larger) / unit, limit / unit)
         };
         let allowance = |multiple, constant, per_thousand_servers| Allowance {
             multiple,
@@ -156,21 +157,21 @@
                 KILOBYTE,
                 allowance(2.0, 64.0 * KILOBYTE, 500.0 * KILOBYTE),
             ),
-            Row::service(usual.service, larger.service),
+            Row::service(baseline.service, larger.service),
         ];
         Comparison {
-            usual_servers: usual.servers,
+            baseline_servers: baseline.servers,
             larger_servers: larger.servers,
             rows,
         }
     }
 
-    /// Where each figure stands, by its name.
+    /// The verdict on each value, with its name.
     pub fn verdicts(&self) -> impl Iterator<Item = (&'static str, Verdict)> {
         self.rows.iter().map(|row| (row.name, row.verdict))
     }
 
-    /// Whether no limit is passed.
+    /// Whether no limit is exceeded.
     pub fn is_within_limits(&self) -> bool {
         self.verdicts()
             .all(|(_, verdict)| verdict != Verdict::Exceeded)
@@ -179,19 +180,19 @@
 
 impl Display for Comparison {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        let (usual, larger) = (self.usual_servers, self.larger_servers);
+        let (baseline, larger) = (self.baseline_servers, self.larger_servers);
         writeln!(
             f,
-            "a node in the mean {usual:>9} servers {larger:>9} servers    ratio     limit"
+            "mean per node      {baseline:>9} servers {larger:>9} servers    ratio     limit"
         )?;
         for row in &self.rows {
             writeln!(
                 f,
                 "{:<18} {:>17.3} {:>17.3} {:>8.2} {:>9.3}  {}",
                 row.name,
-                row.usual,
+                row.baseline,
                 row.larger,
-                row.larger / row.usual,
+                row.larger / row.baseline,
                 row.limit,
                 row.verdict
             )?;
--- a/crates/testbed/tests/fleet_sizes.rs
+++ b/crates/testbed/tests/fleet_sizes.rs
@@ -1,4 +1,5 @@
-//! Scenarios at other sizes of the fleet, and the limits of what a node may need there.
+//! Changing the number of cache servers of a scenario, the limits of a node's resource usage, and the sampling of node
+//! processes.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -15,7 +16,7 @@
 }
 
 #[test]
-fn more_servers_have_the_same_proportions_and_the_same_memory_together() {
+fn a_resized_fleet_keeps_its_proportions_and_total_memory() {
     let scenario = calm();
     let memory = |scenario: &Scenario| -> u64 {
         let kinds = scenario.kinds.iter();
@@ -28,8 +29,11 @@
         assert_eq!(resized.server_count(), servers);
         let ratio = memory(&resized) as f64 / memory(&scenario) as f64;
         assert!((0.999..1.001).contains(&ratio), "{servers}: {ratio}");
-        let of_first = f64::from(resized.kinds[0].servers) / f64::from(servers);
-        assert!((0.38..0.42).contains(&of_first), "{servers}: {of_first}");
+        let first_kind_share = f64::from(resized.kinds[0].servers) / f64::from(servers);
+        assert!(
+            (0.38..0.42).contains(&first_kind_share),
+            "{servers}: {first_kind_share}"
+        );
         assert!(resized.kinds.iter().all(|kind| kind.slots > 0));
     }
     assert_eq!(with_servers(&scenario, 25), scenario);
@@ -37,7 +41,7 @@
     assert!(fewer_than_kinds.kinds.iter().all(|kind| kind.servers == 1));
 }
 
-const USUAL: FleetUsage = FleetUsage {
+const BASELINE: FleetUsage = FleetUsage {
     servers: 200,
     cpu_seconds: 1.0,
     peak_memory_bytes: 4e6,
@@ -48,8 +52,9 @@
 };
 
 #[test]
-fn each_figure_has_its_limit_and_half_of_it() {
-    // At 1,000 servers: 1.45 s, 18 MB, 120, 140, 584 KB, 0.68.
+fn each_value_is_compared_with_its_limit_and_half_of_it() {
+    // The limits at 1,000 servers: 1.45 CPU seconds, 18 MB, 120 descriptors, 140 connections, 584 KB of lists, share
+    // served 0.68.
     let at_limit = FleetUsage {
         servers: 1_000,
         cpu_seconds: 1.449,
@@ -59,7 +64,7 @@
         list_bytes: 583e3,
         service: 0.6801,
     };
-    let comparison = Comparison::new(&USUAL, &at_limit);
+    let comparison = Comparison::new(&BASELINE, &at_limit);
     assert!(comparison.is_within_limits(), "{comparison}");
     assert!(
         comparison
@@ -75,13 +80,13 @@
         list_bytes: 296e3,
         service: 0.745,
     };
-    let comparison = Comparison::new(&USUAL, &at_half);
+    let comparison = Comparison::new(&BASELINE, &at_half);
     let mut verdicts = comparison.verdicts();
     assert!(
         verdicts.all(|(_, verdict)| verdict == Verdict::WithinHalf),
         "{comparison}"
     );
-    let over: [fn(&mut FleetUsage); 6] = [
+    let usages_over_limit: [fn(&mut FleetUsage); 6] = [
         |usage| usage.cpu_seconds = 1.46,
         |usage| usage.peak_memory_bytes = 18.1e6,
         |usage| usage.descriptors = 121.0,
@@ -89,10 +94,10 @@
         |usage| usage.list_bytes = 585e3,
         |usage| usage.service = 0.679,
     ];
-    for (index, change) in over.iter().enumerate() {
+    for (index, change) in usages_over_limit.iter().enumerate() {
         let mut usage = at_half;
         change(&mut usage);
-        let comparison = Comparison::new(&USUAL, &usage);
+        let comparison = Comparison::new(&BASELINE, &usage);
         let exceeded: Vec<_> = comparison
             .verdicts()
             .enumerate()
@@ -103,7 +108,7 @@
 }
 
 #[test]
-fn a_process_counts_for_the_run_whose_folder_its_configuration_is_in() {
+fn a_process_is_sampled_only_for_the_run_whose_folder_contains_its_configuration() {
     let folder = tempfile::tempdir().unwrap();
     let mut process = std::process::Command::new("sleep")
         .arg("600")
