--- a/crates/testbed/src/load/mod.rs
+++ b/crates/testbed/src/load/mod.rs
@@ -1,9 +1,9 @@
-//! The load generator: requests at times of their own, whatever the answers (open loop). A latency counts from the time
-//! at which a request was intended, so that neither a slow server nor a late sender hides what a client would have waited
-//! (coordinated omission).
+//! An open-loop load generator: the times of requests do not depend on replies. Latencies are measured from the
+//! intended time of a request, so that a slow server or a late sender does not hide the time that a client would have
+//! waited (coordinated omission).
 //!
-//! One thread sends, as it has nothing to wait for but the clock, and one thread per connection receives, with blocking
-//! sockets: the timers of an async runtime have a resolution of a millisecond, which is too coarse.
+//! One thread sends all requests, since it only waits for the clock. One thread per connection receives replies.
+//! Sockets are blocking, because timers of an async runtime have a resolution of 1 ms, which is too coarse.
 
 mod receiver;
 mod sender;
@@ -21,59 +21,60 @@
 use sender::{Connection, Sender};
 pub use stub_server::StubServer;
 
-/// Largest number of requests that wait for their answers on one connection. A request that is intended while all
-/// connections are full is not sent, and counted.
+/// Maximum number of requests in flight per connection. A request whose intended time comes while all connections are
+/// full is not sent, and counted in [`Outcome::unsent`].
 const PIPELINE_DEPTH: usize = 64;
-/// Answers may arrive for this long after the last request.
+/// How long to wait for outstanding replies after the last request.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
-/// How often it is checked whether all answers have arrived.
-const DRAIN_CHECK: Duration = Duration::from_millis(1);
-/// Largest latency that is recorded, in nanoseconds.
-const MAX_LATENCY: u64 = 600_000_000_000;
+/// Interval between checks whether all replies have arrived.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// Largest latency that is recorded: 600 s.
+const MAX_LATENCY_NS: u64 = 600_000_000_000;
 /// Significant digits of recorded latencies.
 const LATENCY_DIGITS: u8 = 3;
 
-/// The load to send.
+/// The load to generate.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Load {
     /// Requests per second.
     pub per_s: f64,
-    /// For how long.
+    /// How long requests are sent.
     pub duration: Duration,
     /// Number of connections.
     pub connections: usize,
     /// Number of keys.
     pub keys: u64,
-    /// Exponent of the Zipf distribution of their popularity; 0 if all are equally popular.
+    /// Exponent of the Zipf distribution of keys; 0 if all keys are equally likely.
     pub zipf_exponent: f64,
     /// Name of the class of the requests.
     pub class: String,
-    /// Deadline that the requests state.
+    /// Deadline given in the requests.
     pub deadline: Duration,
-    /// Seed of arrivals and keys.
+    /// Random seed of arrival times and keys.
     pub seed: u64,
 }
 
 /// The result of sending a load.
 #[derive(Debug, Clone)]
 pub struct Outcome {
-    /// Number of requests intended.
+    /// Number of requests whose intended time has come, sent or not.
     pub intended: u64,
     /// Number of requests served.
     pub served: u64,
     /// Number of requests rejected.
     pub rejected: u64,
-    /// Number of requests answered otherwise.
+    /// Number of requests with any other reply.
     pub failed: u64,
-    /// Number of requests without an answer.
+    /// Number of requests sent without a reply.
     pub unanswered: u64,
-    /// Number of requests that were not sent, as all connections were full.
+    /// Number of requests that were not sent because all connections were full or broken.
     pub unsent: u64,
-    /// Latencies of the requests served, in nanoseconds from the intended time.
+    /// Latencies of requests served, from their intended time, in nanoseconds.
     pub latency: Histogram<u64>,
-    /// The same from the time of sending: what a tool that waits for each answer would have reported.
+    /// The same latencies from the time of sending, without correction for coordinated omission: what a closed-loop
+    /// tool would report.
     pub uncorrected: Histogram<u64>,
-    /// From the beginning to the last answer.
+    /// Time from the start to the last reply.
     pub elapsed: Duration,
 }
 
@@ -90,14 +91,14 @@
     reason = "the bounds are constants that the histogram accepts"
 )]
 fn latency_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MAX_LATENCY, LATENCY_DIGITS).expect("the bounds are valid")
+    Histogram::new_with_bounds(1, MAX_LATENCY_NS, LATENCY_DIGITS).expect("the bounds are valid")
 }
 
-fn addition_failed(error: AdditionError) -> std::io::Error {
+fn histogram_error(error: AdditionError) -> std::io::Error {
     std::io::Error::other(error)
 }
 
-/// Sends a load to an address, and waits for its answers.
+/// Sends a load to an address, and waits for the replies.
 ///
 /// # Errors
 /// If the address can't be reached.
@@ -114,35 +115,35 @@
     }
     let begin = Instant::now();
     let sent = Sender::new(load, connections).run(begin);
-    wait_for_answers(&receivers);
+    wait_for_replies(&receivers);
     for stream in &sent.streams {
-        // It may have ended before.
+        // The peer may have closed the connection already.
         let _ = stream.shutdown(Shutdown::Both);
     }
     let mut total = Received::new(begin);
     for receiver in receivers {
         if let Ok(received) = receiver.join() {
-            total.add(&received).map_err(addition_failed)?;
+            total.add(&received).map_err(histogram_error)?;
         }
     }
-    let answered = total.served + total.rejected + total.failed;
+    let replied = total.served + total.rejected + total.failed;
     Ok(Outcome {
         intended: sent.intended,
         served: total.served,
         rejected: total.rejected,
         failed: total.failed,
-        unanswered: sent.intended.saturating_sub(sent.unsent + answered),
+        unanswered: sent.intended.saturating_sub(sent.unsent + replied),
         unsent: sent.unsent,
         latency: total.latency,
         uncorrected: total.uncorrected,
-        elapsed: total.last - begin,
+        elapsed: total.last_reply_at - begin,
     })
 }
 
-/// Waits until the receivers have ended, as they do with their last answer, but no longer than [`DRAIN_TIMEOUT`].
-fn wait_for_answers(receivers: &[JoinHandle<Received>]) {
-    let until = Instant::now() + DRAIN_TIMEOUT;
-    while receivers.iter().any(|receiver| !receiver.is_finished()) && Instant::now() < until {
-        thread::sleep(DRAIN_CHECK);
+/// Waits for the receivers, which end after their last reply, but at most [`DRAIN_TIMEOUT`].
+fn wait_for_replies(receivers: &[JoinHandle<Received>]) {
+    let deadline = Instant::now() + DRAIN_TIMEOUT;
+    while receivers.iter().any(|receiver| !receiver.is_finished()) && Instant::now() < deadline {
+        thread::sleep(DRAIN_POLL_INTERVAL);
     }
 }
--- a/crates/testbed/src/load/receiver.rs
+++ b/crates/testbed/src/load/receiver.rs
@@ -1,4 +1,4 @@
-//! The threads that receive: one for each connection reads the answers and records their latencies.
+//! The receiver threads: one per connection reads the replies and records latencies.
 
 use std::io::Read;
 use std::net::TcpStream;
@@ -13,16 +13,16 @@
 
 use super::latency_histogram;
 
-/// Bytes that are read from a connection at once.
+/// Size of the buffer for one read from a connection.
 pub(super) const READ_SIZE: usize = 64 * 1024;
 
-/// A request that waits for its answer.
+/// A request without a reply so far.
 pub(super) struct InFlightRequest {
     pub(super) intended_at: Instant,
     pub(super) sent_at: Instant,
 }
 
-/// What was received.
+/// Counts and latencies of the replies received.
 pub(super) struct Received {
     pub(super) served: u64,
     pub(super) rejected: u64,
@@ -31,12 +31,12 @@
     pub(super) latency: Histogram<u64>,
     /// Latencies from the time of sending, in nanoseconds.
     pub(super) uncorrected: Histogram<u64>,
-    /// When the last answer arrived.
-    pub(super) last: Instant,
+    /// When the last reply arrived.
+    pub(super) last_reply_at: Instant,
 }
 
 impl Received {
-    /// Nothing yet.
+    /// No replies so far.
     pub(super) fn new(begin: Instant) -> Self {
         Received {
             served: 0,
@@ -44,29 +44,29 @@
             failed: 0,
             latency: latency_histogram(),
             uncorrected: latency_histogram(),
-            last: begin,
+            last_reply_at: begin,
         }
     }
 
-    /// Adds what another connection has received.
+    /// Adds the replies of another connection.
     pub(super) fn add(&mut self, other: &Received) -> Result<(), AdditionError> {
         self.served += other.served;
         self.rejected += other.rejected;
         self.failed += other.failed;
         self.latency.add(&other.latency)?;
         self.uncorrected.add(&other.uncorrected)?;
-        self.last = self.last.max(other.last);
+        self.last_reply_at = self.last_reply_at.max(other.last_reply_at);
         Ok(())
     }
 
-    fn record(&mut self, request: &InFlightRequest, answer: &BytesFrame) {
-        self.last = Instant::now();
-        match answer {
+    fn record(&mut self, request: &InFlightRequest, reply: &BytesFrame) {
+        self.last_reply_at = Instant::now();
+        match reply {
             BytesFrame::BulkString(_) | BytesFrame::Array(_) => {
                 self.served += 1;
-                let latency = self.last - request.intended_at;
+                let latency = self.last_reply_at - request.intended_at;
                 self.latency.saturating_record(latency.as_nanos() as u64);
-                let uncorrected = self.last - request.sent_at;
+                let uncorrected = self.last_reply_at - request.sent_at;
                 self.uncorrected
                     .saturating_record(uncorrected.as_nanos() as u64);
             }
@@ -76,30 +76,30 @@
     }
 }
 
-/// Reads answers until the connection ends or no request is expected any more.
-pub(super) fn receive(input: &mut TcpStream, expected: &Receiver<InFlightRequest>) -> Received {
+/// Reads replies until the connection ends or the last request has its reply.
+pub(super) fn receive(input: &mut TcpStream, in_flight: &Receiver<InFlightRequest>) -> Received {
     let mut received = Received::new(Instant::now());
     let mut buffer = BytesMut::new();
     let mut chunk = vec![0; READ_SIZE];
-    // The sender's end of the queue is dropped after its last request.
-    while let Ok(request) = expected.recv() {
-        let Some(answer) = read_answer(input, &mut buffer, &mut chunk) else {
+    // `recv` fails once the sender has dropped its end of the queue after its last request.
+    while let Ok(request) = in_flight.recv() {
+        let Some(reply) = read_reply(input, &mut buffer, &mut chunk) else {
             break;
         };
-        received.record(&request, &answer);
+        received.record(&request, &reply);
     }
     received
 }
 
-/// The next answer; `None` if the connection has ended or brought malformed bytes.
-fn read_answer(
+/// Reads the next reply; `None` if the connection has ended or the reply is malformed.
+fn read_reply(
     input: &mut TcpStream,
     buffer: &mut BytesMut,
     chunk: &mut [u8],
 ) -> Option<BytesFrame> {
     loop {
-        if let Some((answer, ..)) = decode_bytes_mut(buffer).ok()? {
-            return Some(answer);
+        if let Some((reply, ..)) = decode_bytes_mut(buffer).ok()? {
+            return Some(reply);
         }
         let count = input.read(chunk).ok()?;
         if count == 0 {
--- a/crates/testbed/src/load/sender.rs
+++ b/crates/testbed/src/load/sender.rs
@@ -1,4 +1,4 @@
-//! The thread that sends: draws arrivals and keys, waits for each intended time, and writes a command.
+//! The sender thread: draws arrival times and keys, waits until each intended time, and writes a command.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -14,31 +14,31 @@
 use super::receiver::InFlightRequest;
 use crate::sockets::client_connections::encode_command;
 
-/// A sleep may end later than asked for by about this much: the rest is spent in a busy loop.
+/// A sleep may overrun by about this much, so the last part of a wait is a busy loop.
 const SLEEP_RESOLUTION: Duration = Duration::from_micros(120);
-/// Number of the random stream of arrivals.
-const ARRIVALS: u64 = 1;
-/// Number of the random stream of keys.
-const KEYS: u64 = 2;
+/// Number of the random stream for arrival times.
+const ARRIVAL_STREAM: u64 = 1;
+/// Number of the random stream for keys.
+const KEY_STREAM: u64 = 2;
 
-/// A connection as the sender sees it.
+/// The sender's side of a connection.
 pub(super) struct Connection {
     pub(super) stream: TcpStream,
-    /// To its receiver, in the order of the commands.
+    /// Passes the requests to the receiver, in the order of their commands.
     pub(super) in_flight: SyncSender<InFlightRequest>,
 }
 
-/// What was sent.
+/// The result of sending.
 pub(super) struct Sent {
-    /// Number of requests intended.
+    /// Number of requests whose intended time has come, sent or not.
     pub(super) intended: u64,
-    /// Number of requests not sent, as all connections were full or broken.
+    /// Number of requests that were not sent because all connections were full or broken.
     pub(super) unsent: u64,
-    /// The connections, which are still open.
+    /// The connections, still open.
     pub(super) streams: Vec<TcpStream>,
 }
 
-/// Sends a load over some connections.
+/// Sends a load over a set of connections.
 pub(super) struct Sender<'a> {
     load: &'a Load,
     connections: Vec<Connection>,
@@ -46,7 +46,7 @@
     last_tried: usize,
     arrivals: RandomStream,
     keys: RandomStream,
-    popularity: Zipf<f64>,
+    key_distribution: Zipf<f64>,
 }
 
 impl<'a> Sender<'a> {
@@ -55,18 +55,18 @@
         reason = "there is at least one key and the exponent is not negative"
     )]
     pub(super) fn new(load: &'a Load, connections: Vec<Connection>) -> Self {
-        let popularity = Zipf::new(load.keys.max(1) as f64, load.zipf_exponent.max(0.0));
+        let key_distribution = Zipf::new(load.keys.max(1) as f64, load.zipf_exponent.max(0.0));
         Sender {
             load,
             connections,
             last_tried: 0,
-            arrivals: random_stream(load.seed, ARRIVALS),
-            keys: random_stream(load.seed, KEYS),
-            popularity: popularity.expect("keys and exponent are valid"),
+            arrivals: random_stream(load.seed, ARRIVAL_STREAM),
+            keys: random_stream(load.seed, KEY_STREAM),
+            key_distribution: key_distribution.expect("keys and exponent are valid"),
         }
     }
 
-    /// Sends all requests. The receivers' queues end with it.
+    /// Sends all requests, then closes the receivers' queues.
     pub(super) fn run(mut self, begin: Instant) -> Sent {
         let duration = self.load.duration.as_secs_f64();
         let mut intended = 0;
@@ -94,9 +94,9 @@
         }
     }
 
-    /// A read of a random key.
+    /// Encodes a read of a random key.
     fn next_command(&mut self, number: u64) -> BytesMut {
-        let key = self.popularity.sample(&mut self.keys) as u64;
+        let key = self.key_distribution.sample(&mut self.keys) as u64;
         let key = format!("{key:016x}");
         let id = format!("{:016x}", (self.load.seed << 40) ^ number);
         let deadline_ms = self.load.deadline.as_millis();
@@ -110,7 +110,7 @@
         encode_command(&words)
     }
 
-    /// Writes a command to the next connection with space. False if all are full or broken.
+    /// Writes a command to the next connection that has room for a request. Returns false if all are full or broken.
     fn send(&mut self, command: &[u8], intended_at: Instant) -> bool {
         let count = self.connections.len();
         (0..count).any(|_| {
@@ -128,12 +128,12 @@
 
 fn wait_until(due: Instant) {
     loop {
-        let left = due.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = due.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return;
         }
-        if left > SLEEP_RESOLUTION {
-            thread::sleep(left - SLEEP_RESOLUTION);
+        if remaining > SLEEP_RESOLUTION {
+            thread::sleep(remaining - SLEEP_RESOLUTION);
         } else {
             std::hint::spin_loop();
         }
--- a/crates/testbed/src/load/stub_server.rs
+++ b/crates/testbed/src/load/stub_server.rs
@@ -1,4 +1,4 @@
-//! A server that answers each command at once with one value, for measuring what stands before it.
+//! A server that answers every command at once with the same value, to measure the overhead of what is in front of it.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -11,7 +11,7 @@
 
 use super::receiver::READ_SIZE;
 
-/// A server that answers each command with one value, and PING with PONG. It ends when it is dropped.
+/// A server that answers every command with the same value, and PING with PONG. It stops when it is dropped.
 pub struct StubServer {
     address: SocketAddr,
     listener: TcpListener,
@@ -19,19 +19,18 @@
 }
 
 impl StubServer {
-    /// Listens on a port of 127.0.0.1 that the system picks. Each answer has a value of `value_bytes`, and comes after
-    /// `pause`.
+    /// Starts a server on an ephemeral port of 127.0.0.1. Its replies have a value of `value_bytes` and are delayed by
+    /// `reply_delay`.
     ///
     /// # Errors
-    /// If the system provides no port.
-    pub fn start(value_bytes: usize, pause: Duration) -> std::io::Result<StubServer> {
+    /// If no port can be bound.
+    pub fn start(value_bytes: usize, reply_delay: Duration) -> std::io::Result<StubServer> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let incoming = listener.try_clone()?;
         let value = "v".repeat(value_bytes);
-        let answer =
-            format!("*3\r\n${value_bytes}\r\n{value}\r\n$3\r\nhit\r\n$-1\r\n").into_bytes();
-        let thread = thread::spawn(move || accept(&incoming, &answer, pause));
+        let reply = format!("*3\r\n${value_bytes}\r\n{value}\r\n$3\r\nhit\r\n$-1\r\n").into_bytes();
+        let thread = thread::spawn(move || accept(&incoming, &reply, reply_delay));
         Ok(StubServer {
             address,
             listener,
@@ -39,7 +38,7 @@
         })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -47,7 +46,7 @@
 
 impl Drop for StubServer {
     fn drop(&mut self) {
-        // This ends the accepting thread.
+        // This ends the accept loop, so that its thread can be joined.
         let _ = socket2::SockRef::from(&self.listener).shutdown(Shutdown::Both);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -55,17 +54,21 @@
     }
 }
 
-/// Accepts connections until the listener is shut down. Each has a thread that ends with it.
-fn accept(listener: &TcpListener, answer: &[u8], pause: Duration) {
+/// Accepts connections until the listener is shut down. Each connection has its own thread.
+fn accept(listener: &TcpListener, reply: &[u8], reply_delay: Duration) {
     for stream in listener.incoming() {
         let Ok(stream) = stream else { return };
-        let answer = answer.to_vec();
-        thread::spawn(move || answer_commands(stream, &answer, pause));
+        let reply = reply.to_vec();
+        thread::spawn(move || reply_to_commands(stream, &reply, reply_delay));
     }
 }
 
-/// Answers the commands of a connection until it ends.
-fn answer_commands(mut stream: TcpStream, answer: &[u8], pause: Duration) -> std::io::Result<()> {
+/// Answers the commands of a connection until the client closes it.
+fn reply_to_commands(
+    mut stream: TcpStream,
+    reply: &[u8],
+    reply_delay: Duration,
+) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let mut buffer = BytesMut::new();
     let mut chunk = vec![0; READ_SIZE];
@@ -79,10 +82,10 @@
         output.clear();
         while let Ok(Some((command, ..))) = decode_bytes_mut(&mut buffer) {
             let is_ping = matches!(&command, BytesFrame::Array(words) if words.len() == 1);
-            output.extend_from_slice(if is_ping { b"+PONG\r\n" } else { answer });
+            output.extend_from_slice(if is_ping { b"+PONG\r\n" } else { reply });
         }
-        if !pause.is_zero() {
-            thread::sleep(pause);
+        if !reply_delay.is_zero() {
+            thread::sleep(reply_delay);
         }
         stream.write_all(&output)?;
     }
