--- a/crates/testbed/src/program.rs
+++ b/crates/testbed/src/program.rs
@@ -1,20 +1,20 @@
-//! Finds the `cache-router` program that a run on sockets starts, and the library that injects faults into it.
+//! Locates the `cache-router` program that runs on sockets start, and the library that injects faults into it.
 
 use std::ffi::OsStr;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
-/// Name of the program, and of its package.
-const PROGRAM: &str = "cache-router";
-/// The package of the fault injector.
+/// Name of the program and of its Cargo package.
+const PROGRAM_NAME: &str = "cache-router";
+/// The Cargo package of the fault injector.
 const INJECTOR_PACKAGE: &str = "fault-injector";
-/// The library that cargo builds of it.
+/// The file name of the library that Cargo builds from it.
 const INJECTOR_LIBRARY: &str = "libfault_injector.so";
 
-/// Why there is no program to start.
+/// Why the program or the fault injector is not available.
 #[derive(Debug, thiserror::Error)]
 pub enum ProgramError {
-    /// It does not exist.
+    /// The program does not exist.
     #[error("no program at {}: build it with `cargo build --release`, or name another", .path.display())]
     Missing {
         /// Where it was expected.
@@ -26,31 +26,32 @@
         /// Where it was expected.
         path: PathBuf,
     },
-    /// The path of this program is not known.
-    #[error("cannot tell where this program is: {source}")]
-    Unlocatable {
+    /// The path of the running program can't be determined.
+    #[error("cannot determine the path of this program: {source}")]
+    UnknownLocation {
         /// The reason.
         source: std::io::Error,
     },
-    /// It could not be built.
+    /// The package could not be built.
     #[error("`cargo build` of {package} failed{details}")]
     Build {
         /// The package.
         package: &'static str,
-        /// The reason, as it follows the message.
+        /// The reason, with the separator that joins it to the message.
         details: String,
     },
 }
 
-/// The program at `named`, or else the one beside this program. If this program runs through cargo, the other is built
-/// first where it is not up to date, as `cargo run` builds only one program.
+/// Returns `requested` if given, or else the path of the program in the folder of the running program. If Cargo runs
+/// this program, the other one is built first if it is out of date, since `cargo run` builds only the program that it
+/// runs.
 ///
 /// # Errors
 /// If it does not exist or can't be built.
-pub fn find(named: Option<&Path>) -> Result<PathBuf, ProgramError> {
-    let path = match named {
-        Some(named) => named.to_path_buf(),
-        None => beside_this_program(PROGRAM)?.join(PROGRAM),
+pub fn find(requested: Option<&Path>) -> Result<PathBuf, ProgramError> {
+    let path = match requested {
+        Some(requested) => requested.to_path_buf(),
+        None => build_beside_this_program(PROGRAM_NAME)?.join(PROGRAM_NAME),
     };
     if path.is_file() {
         Ok(path)
@@ -59,13 +60,13 @@
     }
 }
 
-/// The library that injects faults into the system calls of nodes. It is beside this program, and is built first as
-/// `cache-router` is.
+/// Returns the path of the library that injects faults into the system calls of nodes. It is expected in the folder of
+/// the running program, and is built first in the same case as `cache-router` in [`find`].
 ///
 /// # Errors
 /// If it does not exist or can't be built.
 pub fn find_fault_injector() -> Result<PathBuf, ProgramError> {
-    let path = beside_this_program(INJECTOR_PACKAGE)?.join(INJECTOR_LIBRARY);
+    let path = build_beside_this_program(INJECTOR_PACKAGE)?.join(INJECTOR_LIBRARY);
     if path.is_file() {
         Ok(path)
     } else {
@@ -73,11 +74,12 @@
     }
 }
 
-/// The folder of this program, where a package is built first if this program runs through cargo.
-fn beside_this_program(package: &'static str) -> Result<PathBuf, ProgramError> {
-    let this = std::env::current_exe().map_err(|source| ProgramError::Unlocatable { source })?;
-    let folder = this.parent().unwrap_or(Path::new("."));
-    // Test programs are one folder further down.
+/// Returns the folder of the running program. If Cargo runs this program, `package` is built into that folder first.
+fn build_beside_this_program(package: &'static str) -> Result<PathBuf, ProgramError> {
+    let current_exe =
+        std::env::current_exe().map_err(|source| ProgramError::UnknownLocation { source })?;
+    let folder = current_exe.parent().unwrap_or(Path::new("."));
+    // Cargo puts test programs into the subfolder `deps`.
     let folder = if folder.ends_with("deps") {
         folder.parent().unwrap_or(folder)
     } else {
@@ -91,7 +93,8 @@
     Ok(folder.to_path_buf())
 }
 
-/// Builds a package in the workspace of a manifest's folder, with the profile and into the target folder of `folder`.
+/// Builds a package of the workspace that contains the folder `manifest`, with the profile and the target folder that
+/// `folder` belongs to.
 fn build(
     package: &'static str,
     cargo: &OsStr,
