--- a/crates/routing-policy/src/policy.rs
+++ b/crates/routing-policy/src/policy.rs
@@ -34,7 +34,7 @@
         self.now = now;
         std::mem::swap(&mut self.actions, actions);
         self.on_event(event);
-        while let Some(timer) = self.timers.next_due(now, &mut self.actions) {
+        while let Some(timer) = self.timers.pop_due_or_arm(now, &mut self.actions) {
             self.on_timer(timer);
         }
         std::mem::swap(&mut self.actions, actions);
@@ -55,7 +55,7 @@
                 attempt,
                 established,
             } => self.on_connection(AttemptId::new(request, attempt), established),
-            Event::Timer(_) => self.timers.fired(),
+            Event::Timer(_) => self.timers.router_timer_fired(),
             Event::HealthChecked {
                 server,
                 healthy: true,
--- a/crates/routing-policy/src/policy/admission.rs
+++ b/crates/routing-policy/src/policy/admission.rs
@@ -30,7 +30,7 @@
 impl Admission {
     pub(super) fn new(settings: &Settings) -> Self {
         Admission {
-            tenants: TenantQuota::of_all(settings),
+            tenants: TenantQuota::for_all_tenants(settings),
             shared: TokenBucket::default(),
             usual_deadlines: vec![MajorityVote::default(); settings.classes.len()],
         }
@@ -39,7 +39,7 @@
     /// Refunds what an unserved request was charged: a quota limits answered requests.
     pub(super) fn refund(&mut self, charged_tenant: Option<usize>) {
         if let Some(quota) = charged_tenant.and_then(|tenant| self.tenants.get_mut(tenant)) {
-            quota.bucket.give_back();
+            quota.bucket.refund();
         }
     }
 }
@@ -60,10 +60,10 @@
         // saved at many routers would prolong an overload.
         let burst = (BURST_TOKENS * multiplier).clamp(1.0, BURST_TOKENS);
         let shared_rate = SHARED_QUOTA_FRACTION * self.request_rate.quota_share() * multiplier;
-        let in_shared = admission.shared.fill(self.now, shared_rate, burst);
-        let rate = multiplier * quota.per_s / self.settings.router_count();
+        let in_shared = admission.shared.refill(self.now, shared_rate, burst);
+        let rate = multiplier * quota.quota_per_s / self.settings.router_count();
         let depth = burst + rate * self.objective as f64 / 1e6;
-        let in_quota = quota.bucket.fill(self.now, rate, depth);
+        let in_quota = quota.bucket.refill(self.now, rate, depth);
         if !in_quota && !in_shared && self.load_shedding.limits_tenants() {
             return false;
         }
@@ -85,7 +85,7 @@
         let deadline = self.settings.classes[request.class].deadline;
         let tolerance = deadline as f64 * DEADLINE_TOLERANCE;
         let usual = &mut self.admission.usual_deadlines[request.class];
-        let is_usual = usual.take(request.remaining_deadline, tolerance, MAX_DEADLINE_VOTES);
+        let is_usual = usual.observe(request.remaining_deadline, tolerance, MAX_DEADLINE_VOTES);
         if is_usual || usual.votes() < MIN_DEADLINE_VOTES || !self.load_shedding.limits_tenants() {
             return 0;
         }
--- a/crates/routing-policy/src/policy/attempts.rs
+++ b/crates/routing-policy/src/policy/attempts.rs
@@ -5,7 +5,7 @@
     Action, AttemptOutcome, AttemptStatus, EndpointState, Idempotency, Micros, RequestId, ServerId,
     Settings,
 };
-use crate::state::{Attempt, AttemptId, CallKind, InFlightRequest, Server, Timer};
+use crate::state::{Attempt, AttemptId, AttemptKind, InFlightRequest, Server, Timer};
 
 /// Fraction of its latency objective after which an attempt is slow. After twice that it is nearly late.
 const SLOW_FRACTION: f64 = 0.4;
@@ -22,9 +22,9 @@
 const DEDUPLICATION_MARGIN_TICKS: Micros = 2;
 /// Weight of an answer in the smoothed service time.
 const SERVICE_TIME_WEIGHT: f64 = 0.1;
-/// Weight of an answer in its server's fastest time, if it is slower than that. A faster answer replaces the
-/// fastest time, so that it measures the network without random variation or queueing.
-const FASTEST_TIME_WEIGHT: f64 = 0.02;
+/// Weight of an answer in its server's minimum answer time, if it is slower than that. A faster answer replaces
+/// the minimum, so that it measures the network without random variation or queueing.
+const MIN_ANSWER_TIME_WEIGHT: f64 = 0.02;
 /// The settings give the cost of connections for one router in this many.
 const CONNECTION_COST_ROUTERS: f64 = 100.0;
 
@@ -37,21 +37,21 @@
 
 impl Policy {
     /// Sends an attempt, or returns false if a rule forbids it. No other function sends attempts.
-    pub(super) fn send(&mut self, id: RequestId, server: ServerId, call: CallKind) -> bool {
+    pub(super) fn send(&mut self, id: RequestId, server: ServerId, kind: AttemptKind) -> bool {
         let may_send = self.may_send(id, server);
         let Some(request) = self.requests.get_mut(&id).filter(|_| may_send) else {
             return false;
         };
         let objective = self.settings.classes[request.class].latency_objective;
         let slow_after = (objective as f64 * SLOW_FRACTION) as Micros;
-        let attempt = Attempt::new(server, call, self.now, objective, slow_after);
+        let attempt = Attempt::new(server, kind, self.now, objective, slow_after);
         let attempt_id = AttemptId::new(id, request.begin_attempt(server, self.now));
         self.count_attempt(server);
         if attempt.is_cache_read() {
-            self.fleet.cache_attempts += 1;
+            self.fleet.cache_attempts_in_flight += 1;
             self.set_timer(attempt.slow_after, Timer::AttemptSlow(attempt_id));
         } else {
-            self.origin_limiter.begin_call(call);
+            self.origin_limiter.begin_call(kind);
         }
         self.attempts.insert(attempt_id, attempt);
         self.actions.push(Action::Send {
@@ -76,7 +76,7 @@
     /// Whether a retry has no second effect. A retry of an attempt that may have run goes only to servers that
     /// drop it as a duplicate, and only while they do so.
     fn may_run_again(&self, request: &InFlightRequest, server: &Server) -> bool {
-        let Some(first) = request.possibly_executed.first() else {
+        let Some(first) = request.possible_executions.first() else {
             return true;
         };
         match self.settings.classes[request.class].idempotency {
@@ -163,7 +163,7 @@
         if !attempt.is_cache_read() {
             return self.on_origin_outcome(attempt, status);
         }
-        self.fleet.cache_attempts -= 1;
+        self.fleet.cache_attempts_in_flight -= 1;
         let elapsed = attempt.elapsed(self.now);
         let is_rejected = status == AttemptStatus::Rejected;
         // A slow answer was counted when it became slow. Counting it at its end would detect an overload too
@@ -189,8 +189,14 @@
             AttemptStatus::NotSent | AttemptStatus::Cancelled => {}
             AttemptStatus::Served | AttemptStatus::Miss | AttemptStatus::Rejected => {
                 if status == AttemptStatus::Served {
-                    let (service, fastest) = (SERVICE_TIME_WEIGHT, FASTEST_TIME_WEIGHT);
-                    self.fleet.record_time(attempt, self.now, service, fastest);
+                    let (service_weight, min_time_weight) =
+                        (SERVICE_TIME_WEIGHT, MIN_ANSWER_TIME_WEIGHT);
+                    self.fleet.record_answer_time(
+                        attempt,
+                        self.now,
+                        service_weight,
+                        min_time_weight,
+                    );
                 }
                 self.on_server_answered(attempt);
             }
@@ -258,13 +264,13 @@
         };
         let class = &self.settings.classes[request.class];
         let may_hedge = self.settings.may_hedge && class.idempotency == Idempotency::Idempotent;
-        let is_only_cache_read = request.attempts_in_flight == 1 && !request.missed;
+        let is_only_cache_read = request.attempts_in_flight == 1 && !request.has_missed;
         if !may_hedge || !is_only_cache_read || !has_budget || is_well_known {
             return;
         }
         request.excluded_servers.push(slow_server);
         let next = self.pick(id);
-        if next.is_some_and(|next| self.send(id, next, CallKind::CacheRead)) {
+        if next.is_some_and(|next| self.send(id, next, AttemptKind::CacheRead)) {
             self.retry_budget.withdraw(RETRY_COST);
         }
     }
--- a/crates/routing-policy/src/policy/endpoints.rs
+++ b/crates/routing-policy/src/policy/endpoints.rs
@@ -42,7 +42,7 @@
         }
         // Removed servers without attempts in flight are forgotten here: a scan of the fleet at each review
         // took too much CPU time.
-        self.fleet.forget_removed();
+        self.fleet.apply_list_changes();
         self.sum_capacities();
         for id in restarted {
             self.begin_slow_start(id);
@@ -57,7 +57,7 @@
         let known_start = server.endpoint.started;
         let has_restarted = endpoint.started > known_start;
         if has_restarted {
-            server.consecutive_failures = 0;
+            server.failure_count = 0;
             server.ejection = None;
             server.key_share = KeyShare::default();
         }
@@ -98,7 +98,7 @@
 
     /// Capacity of a warm server relative to others, from its weight and the key share of its kind.
     pub(super) fn capacity(&self, server: &Server) -> f64 {
-        self.weight(server) * self.fleet.kind_share(server)
+        self.weight(server) * self.fleet.kind_key_share(server)
     }
 
     pub(super) fn sum_capacities(&mut self) {
--- a/crates/routing-policy/src/policy/origin_limiter.rs
+++ b/crates/routing-policy/src/policy/origin_limiter.rs
@@ -5,7 +5,8 @@
 use crate::interface::{Action, AttemptStatus, Micros, RequestId, Settings};
 use crate::log_event::LogEvent;
 use crate::state::{
-    Attempt, CallKind, Crossing, DecayingRatio, Deferral, OriginCalls, SmoothedTime, Timer,
+    Attempt, AttemptKind, DecayingRatio, Deferral, OriginCalls, SmoothedTime, ThresholdCrossing,
+    Timer,
 };
 
 /// The most outstanding calls of one router. A router starts with half of them.
@@ -97,9 +98,9 @@
     }
 
     /// Whether the cap on outstanding calls and the limit of the window allow one more call.
-    fn has_room(&mut self, call: CallKind, now: Micros, rate: f64) -> bool {
+    fn has_room(&mut self, kind: AttemptKind, now: Micros, rate: f64) -> bool {
         let max_calls = rate.max(MIN_CALLS_PER_S * self.equal_share) * self.window / 1e6;
-        let window_counts = self.calls.tally(now, self.window as Micros);
+        let window_counts = self.calls.sent_in_window(now, self.window as Micros);
         let is_within_window = window_counts.has_room(max_calls.max(1.0));
         let is_fetch_within_window =
             window_counts.has_fetch_room((max_calls * FETCH_FRACTION).max(1.0));
@@ -108,10 +109,10 @@
         let fetch_cap = (self.cap * FETCH_FRACTION).max(1.0);
         let is_fetch_within_cap = is_within_cap && outstanding.has_fetch_room(fetch_cap);
         let has_room = is_within_window
-            && match call {
+            && match kind {
                 // Where the limits allow less than one call per router, a write does not wait for this router's
                 // fetches.
-                CallKind::OriginWrite => is_within_cap || outstanding.has_only_fetches(),
+                AttemptKind::OriginWrite => is_within_cap || outstanding.has_only_fetches(),
                 _ => {
                     is_fetch_within_cap
                         && is_fetch_within_window
@@ -122,17 +123,17 @@
         has_room
     }
 
-    pub(super) fn begin_call(&mut self, call: CallKind) {
-        self.calls.begin(call);
+    pub(super) fn begin_call(&mut self, kind: AttemptKind) {
+        self.calls.record_sent(kind);
     }
 
     fn end_call(&mut self, attempt: &Attempt, status: AttemptStatus, now: Micros, jitter: f64) {
-        self.calls.end(attempt.call);
+        self.calls.record_ended(attempt.kind);
         // A cap below one call is enforced by a pause in fetches after each call.
         let pause = (1.0 / (self.cap * FETCH_FRACTION) - 1.0).max(0.0) * jitter;
         let elapsed = attempt.elapsed(now) as f64;
         self.fetches_paused_until = now + (pause * elapsed) as Micros;
-        if status == AttemptStatus::Served && attempt.call == CallKind::OriginFetch {
+        if status == AttemptStatus::Served && attempt.kind == AttemptKind::OriginFetch {
             self.fetch_time.record(elapsed, FETCH_TIME_WEIGHT);
         }
     }
@@ -163,9 +164,9 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let (class, call) = (request.class, request.origin_call());
+        let (class, kind) = (request.class, request.origin_attempt_kind());
         let (limiter, useful_until) = (&mut self.origin_limiter, request.useful_until);
-        if call == CallKind::OriginFetch && limiter.is_too_late(self.now, useful_until) {
+        if kind == AttemptKind::OriginFetch && limiter.is_too_late(self.now, useful_until) {
             limiter.fetch_time.scale(FETCH_TIME_DECAY);
             return self.end_unless_in_flight(id);
         }
@@ -177,17 +178,17 @@
         let Some(target) = target else {
             return self.defer(id, class);
         };
-        let rate = self.own_rate(self.request_rate.admitted_lately());
-        if !self.origin_limiter.has_room(call, self.now, rate) {
+        let rate = self.own_rate(self.request_rate.admitted_short_term());
+        if !self.origin_limiter.has_room(kind, self.now, rate) {
             self.defer(id, class);
-        } else if !self.send(id, target, call) {
+        } else if !self.send(id, target, kind) {
             self.end(id);
         }
     }
 
     pub(super) fn on_origin_outcome(&mut self, attempt: &Attempt, status: AttemptStatus) {
         let jitter = 0.5 + self.random.unit();
-        let long_term_rate = self.own_rate(self.request_rate.admitted_usually());
+        let long_term_rate = self.own_rate(self.request_rate.admitted_long_term());
         let share = self.origin_limiter.share(long_term_rate);
         let limiter = &mut self.origin_limiter;
         let previous_cap = limiter.cap;
@@ -196,7 +197,7 @@
         let threshold = MAX_OUTSTANDING_CALLS * share * LOGGED_CAP_FRACTION;
         let (lowered, restored) = (LogEvent::OriginLimitLowered, LogEvent::OriginLimitRestored);
         let crossing =
-            Crossing::new(previous_cap, limiter.cap, threshold).choose(lowered, restored);
+            ThresholdCrossing::new(previous_cap, limiter.cap, threshold).select(lowered, restored);
         self.actions.extend(crossing.map(Action::Log));
     }
 
--- a/crates/routing-policy/src/policy/outlier.rs
+++ b/crates/routing-policy/src/policy/outlier.rs
@@ -30,11 +30,11 @@
         let Some(server) = self.fleet.servers.get_mut(&id) else {
             return;
         };
-        server.consecutive_failures += 1;
+        server.failure_count += 1;
         let starts_ejection = match server.ejection {
             Some(ejection) => now >= ejection.until, // The trial attempt failed.
             // One refused connection is enough: either there is no process, or it has no room for a connection.
-            None => server.consecutive_failures >= FAILURES_TO_EJECT || server.unreachable,
+            None => server.failure_count >= FAILURES_TO_EJECT || server.unreachable,
         };
         if !starts_ejection {
             return;
@@ -51,14 +51,14 @@
                 to_micros(LONGEST_EJECTION_OBJECTIVES),
             )
         };
-        let previous = server.ejection.map_or(0, |ejection| ejection.time);
-        let time = (previous * 2).clamp(shortest, longest.max(shortest));
-        let until = now + time;
-        server.ejection = Some(Ejection { until, time });
+        let previous = server.ejection.map_or(0, |ejection| ejection.duration);
+        let duration = (previous * 2).clamp(shortest, longest.max(shortest));
+        let until = now + duration;
+        server.ejection = Some(Ejection { until, duration });
         self.undo_key_share_cuts(id);
         self.log(LogEvent::ServerEjected {
             server: id,
-            ejected_for: time,
+            ejected_for: duration,
         });
     }
 
@@ -69,9 +69,8 @@
             return;
         };
         server.count_answer(self.now, attempt.objective);
-        let is_presumed_restarted =
-            server.unreachable && server.consecutive_failures >= FAILURES_TO_EJECT;
-        server.forgive_failure();
+        let is_presumed_restarted = server.unreachable && server.failure_count >= FAILURES_TO_EJECT;
+        server.decrement_failures();
         if server.ejection.take().is_none() {
             return;
         }
@@ -97,7 +96,7 @@
             self.actions.push(Action::CloseIdle(id));
         }
         if std::mem::take(&mut server.unreachable) {
-            server.forgive_failure();
+            server.decrement_failures();
             server.ejection = None;
             self.log(LogEvent::ServerReached { server: id });
         }
--- a/crates/routing-policy/src/policy/overload.rs
+++ b/crates/routing-policy/src/policy/overload.rs
@@ -4,7 +4,7 @@
 use super::{MIN_REVIEWED_OBSERVATIONS, Policy, REVIEW_DECAY_FACTOR};
 use crate::interface::{Action, Micros, ServerId};
 use crate::log_event::LogEvent;
-use crate::state::{Crossing, DecayingRatio, KeyShare};
+use crate::state::{DecayingRatio, KeyShare, ThresholdCrossing};
 
 /// Overload signals per attempt above which the quota multiplier moves to 1, so that tenants are held to their
 /// quotas. An attempt that is rejected or nearly late is one signal, a slow one half a signal.
@@ -102,8 +102,8 @@
         self.signals
             .decay(REVIEW_DECAY_FACTOR, MIN_REVIEWED_OBSERVATIONS);
         let (started, ended) = (LogEvent::LoadSheddingStarted, LogEvent::LoadSheddingEnded);
-        let crossing = Crossing::new(before, self.quota_multiplier, MAX_QUOTA_MULTIPLIER);
-        crossing.choose(started, ended)
+        let crossing = ThresholdCrossing::new(before, self.quota_multiplier, MAX_QUOTA_MULTIPLIER);
+        crossing.select(started, ended)
     }
 }
 
@@ -111,25 +111,25 @@
     /// A server rejected an attempt or is nearly late with it: its key share and that of its kind are cut.
     pub(super) fn on_server_overloaded(&mut self, id: ServerId) {
         let server_step = self.relative_visit_interval.sqrt();
-        if let Some((server, kind)) = self.fleet.with_kind(id) {
-            let kind_step = kind.next_step(MIN_KIND_STEP, KIND_STEP_ATTEMPTS);
+        if let Some((server, kind)) = self.fleet.server_and_kind_mut(id) {
+            let kind_step = kind.next_step_size(MIN_KIND_STEP, KIND_STEP_ATTEMPTS);
             server
                 .key_share
                 .cut(KEY_SHARE_CUT_FACTOR.powf(server_step), MIN_KEY_SHARE);
             kind.key_share
                 .cut(KEY_SHARE_CUT_FACTOR.powf(kind_step), MIN_KEY_SHARE);
-            server.kind_steps += kind_step;
+            server.kind_cut_steps += kind_step;
         }
     }
 
     /// A server answered in good time.
     pub(super) fn on_answer_in_time(&mut self, id: ServerId) {
         let server_step = self.relative_visit_interval.sqrt();
-        if let Some((server, kind)) = self.fleet.with_kind(id) {
-            let kind_step = kind.next_step(MIN_KIND_STEP, KIND_STEP_ATTEMPTS);
+        if let Some((server, kind)) = self.fleet.server_and_kind_mut(id) {
+            let kind_step = kind.next_step_size(MIN_KIND_STEP, KIND_STEP_ATTEMPTS);
             server.key_share.grow(KEY_SHARE_GROWTH * server_step);
             kind.key_share.grow(KEY_SHARE_GROWTH * kind_step);
-            server.kind_steps = 0.0;
+            server.kind_cut_steps = 0.0;
             if server.is_warm(self.now, self.settings.warm_up_period) {
                 kind.count_warm_answer();
             }
@@ -141,8 +141,8 @@
     pub(super) fn undo_key_share_cuts(&mut self, id: ServerId) {
         if let Some(server) = self.fleet.servers.get_mut(&id) {
             server.key_share = KeyShare::default();
-            if let Some(kind) = self.fleet.kinds.get_mut(&server.endpoint.kind) {
-                let steps = std::mem::take(&mut server.kind_steps);
+            if let Some(kind) = self.fleet.machine_kinds.get_mut(&server.endpoint.kind) {
+                let steps = std::mem::take(&mut server.kind_cut_steps);
                 kind.key_share.undo_cut(KEY_SHARE_CUT_FACTOR.powf(steps));
             }
         }
@@ -150,7 +150,9 @@
 
     /// Updates the quota multiplier, and restores key shares slowly.
     pub(super) fn review_load(&mut self, period: Micros) {
-        let crossing = self.load_shedding.review(self.fleet.cache_attempts == 0);
+        let crossing = self
+            .load_shedding
+            .review(self.fleet.cache_attempts_in_flight == 0);
         self.actions.extend(crossing.map(Action::Log));
         let restored = period as f64 / (KEY_SHARE_RESTORE_OBJECTIVES * self.objective as f64);
         self.fleet.grow_key_shares(restored);
--- a/crates/routing-policy/src/policy/requests.rs
+++ b/crates/routing-policy/src/policy/requests.rs
@@ -4,7 +4,7 @@
 use super::attempts::{BUDGETED_RETRIES_PER_REQUEST, MAX_BUDGETED_RETRIES};
 use super::slow_start::HOT_KEY_WINDOW_REQUESTS;
 use crate::interface::{Action, Micros, Request, RequestId};
-use crate::state::{AttemptId, CallKind, InFlightRequest, Timer};
+use crate::state::{AttemptId, AttemptKind, InFlightRequest, Timer};
 
 /// Ticks before its objective or deadline at which a request ends, since a timer may be late.
 const TIMER_MARGIN_TICKS: Micros = 2;
@@ -55,11 +55,11 @@
         if self.now >= request.useful_until || !has_attempts_left {
             return self.end(id);
         }
-        if request.is_write || request.missed {
+        if request.is_write || request.has_missed {
             return self.call_origin(id);
         }
         let server = self.pick(id);
-        if !server.is_some_and(|server| self.send(id, server, CallKind::CacheRead)) {
+        if !server.is_some_and(|server| self.send(id, server, AttemptKind::CacheRead)) {
             self.end(id);
         }
     }
@@ -95,7 +95,7 @@
             return;
         };
         let class = request.class;
-        let is_harmless = request.possibly_executed.is_empty() || self.is_idempotent(class);
+        let is_harmless = request.possible_executions.is_empty() || self.is_idempotent(class);
         if !self.load_shedding.is_below_quotas() {
             self.admission.refund(request.charged_tenant);
         }
--- a/crates/routing-policy/src/policy/selection.rs
+++ b/crates/routing-policy/src/policy/selection.rs
@@ -2,7 +2,7 @@
 
 use super::Policy;
 use crate::interface::{Key, RequestId, ServerId};
-use crate::state::{InFlightRequest, OrderSegment, Purpose, Server, unit_hash};
+use crate::state::{HashPurpose, InFlightRequest, OrderSegment, Server, unit_hash};
 
 /// Load bound factor: a server is skipped once it holds this multiple of its capacity share of the router's
 /// attempts in flight.
@@ -31,8 +31,8 @@
     /// Ejected servers rank last but stay candidates: when most servers are ejected, the failures have a shared
     /// cause, and no server is a better choice.
     is_ejected: bool,
-    /// Whether even the server's fastest answers would be too late. A client with little time left is served by
-    /// a server near by or not at all.
+    /// Whether an answer would be too late even in the server's minimum answer time. A client with little time
+    /// left is served by a server near by or not at all.
     is_too_slow: bool,
     is_skipped: bool,
     position: f64,
@@ -65,9 +65,9 @@
     pub(super) fn pick(&mut self, id: RequestId) -> Option<ServerId> {
         let key = self.requests.get(&id)?.key;
         let key = if key == 0 { id } else { key };
-        let first = self.fleet.key_orders.take_first(key);
+        let first = self.fleet.key_orders.take_first_segment(key);
         let picked = self.pick_from(id, key, &first);
-        self.fleet.key_orders.keep(key, first);
+        self.fleet.key_orders.cache_first_segment(key, first);
         picked
     }
 
@@ -92,7 +92,7 @@
         let congestion = policy.origin_limiter.congestion();
         let bound_factor =
             LOAD_BOUND_FACTOR + (LOAD_BOUND_FACTOR_CONGESTED - LOAD_BOUND_FACTOR) * congestion;
-        let attempts = f64::from(policy.fleet.cache_attempts + 1);
+        let attempts = f64::from(policy.fleet.cache_attempts_in_flight + 1);
         // A single router counts as two: with the whole lower limit to itself, it would overload one server.
         let router_count = f64::from(policy.settings.balancer_count.max(2));
         let heaviest = policy.fleet.heaviest.and_then(|id| policy.fleet.get(id));
@@ -115,7 +115,7 @@
         let mut current: Option<OrderSegment> = None;
         loop {
             let segment = current.as_ref().unwrap_or(first);
-            if segment.is_last() || self.beats_all_later(best, segment.most_draw_behind()) {
+            if segment.is_last() || self.beats_all_later(best, segment.max_unit_hash_after()) {
                 return best;
             }
             let next = self.policy.fleet.key_orders.next_segment(self.key, segment);
@@ -126,15 +126,15 @@
 
     /// The best server of a segment, or `best` if none of the segment is better.
     fn best_in_segment(&self, segment: &OrderSegment, mut best: Option<Rank>) -> Option<Rank> {
-        for place in &segment.servers {
-            if self.beats_all_later(best, place.draw()) {
+        for ranked in &segment.servers {
+            if self.beats_all_later(best, ranked.unit_hash()) {
                 break;
             }
-            let server = self.policy.fleet.get(place.server);
+            let server = self.policy.fleet.get(ranked.server);
             let Some(server) = server.filter(|server| self.is_eligible(server)) else {
                 continue;
             };
-            let rank = self.rank(server, place.draw());
+            let rank = self.rank(server, ranked.unit_hash());
             if best.is_none_or(|best| rank < best) {
                 best = Some(rank);
             }
@@ -142,10 +142,10 @@
         best
     }
 
-    /// Whether a rank is better than that of every server whose draw is at most `max_draw`.
-    fn beats_all_later(&self, rank: Option<Rank>, max_draw: f64) -> bool {
+    /// Whether a rank is better than that of every server whose unit hash is at most `max_unit_hash`.
+    fn beats_all_later(&self, rank: Option<Rank>, max_unit_hash: f64) -> bool {
         rank.is_some_and(|rank| {
-            !rank.is_deprioritized() && rank.position < self.min_position(max_draw)
+            !rank.is_deprioritized() && rank.position < self.min_position(max_unit_hash)
         })
     }
 
@@ -157,12 +157,12 @@
                 .is_allowed_by_slow_start(self.key, self.request, server)
     }
 
-    fn rank(&self, server: &Server, draw: f64) -> Rank {
+    fn rank(&self, server: &Server, unit_hash: f64) -> Rank {
         Rank {
             is_ejected: self.policy.is_ejected(server),
-            is_too_slow: server.fastest.get() > self.remaining_time,
+            is_too_slow: server.min_answer_time.get() > self.remaining_time,
             is_skipped: self.is_skipped(server),
-            position: self.position(server, draw),
+            position: self.position(server, unit_hash),
             server: server.endpoint.id,
         }
     }
@@ -174,29 +174,29 @@
         let skipped_share = 1.0 - self.policy.fleet.key_share(server);
         f64::from(server.in_flight) >= bound.max(self.min_bound)
             || (skipped_share > 0.0
-                && unit_hash(self.key, server.endpoint.id, Purpose::KeyShare) < skipped_share)
+                && unit_hash(self.key, server.endpoint.id, HashPurpose::KeyShare) < skipped_share)
             || self.queue_time(server) > self.remaining_time * MAX_WAIT_FRACTION
     }
 
     /// Position of a server in the key's order, lowest first (weighted rendezvous hashing). It is the same at
     /// every router, and few keys move when a server is added or removed.
-    fn position(&self, server: &Server, draw: f64) -> f64 {
-        // The negated draw gives the same order without the logarithm, which took most of the time of a pick at
-        // 475 servers.
+    fn position(&self, server: &Server, unit_hash: f64) -> f64 {
+        // The negated unit hash gives the same order without the logarithm, which took most of the time of a pick
+        // at 475 servers.
         if self.policy.settings.weights_are_sizes {
-            -draw.ln() / self.policy.weight(server)
+            -unit_hash.ln() / self.policy.weight(server)
         } else {
-            -draw
+            -unit_hash
         }
     }
 
-    /// Lower bound of the positions of all servers whose draw is at most `max_draw`.
-    fn min_position(&self, max_draw: f64) -> f64 {
+    /// Lower bound of the positions of all servers whose unit hash is at most `max_unit_hash`.
+    fn min_position(&self, max_unit_hash: f64) -> f64 {
         if self.policy.settings.weights_are_sizes {
             // -ln(x) >= 1 - x. This bound is cheaper than the logarithm and holds despite rounding.
-            (1.0 - max_draw) * ROUNDING_MARGIN / self.max_weight
+            (1.0 - max_unit_hash) * ROUNDING_MARGIN / self.max_weight
         } else {
-            -max_draw
+            -max_unit_hash
         }
     }
 
@@ -213,7 +213,7 @@
     fn queue_time(&self, server: &Server) -> f64 {
         let wait = self.policy.fleet.service_time.get() * server.requests_per_core();
         if wait > 0.0 {
-            wait * (0.5 + unit_hash(self.id, server.endpoint.id, Purpose::Queue))
+            wait * (0.5 + unit_hash(self.id, server.endpoint.id, HashPurpose::Queue))
         } else {
             0.0
         }
--- a/crates/routing-policy/src/policy/slow_start.rs
+++ b/crates/routing-policy/src/policy/slow_start.rs
@@ -2,7 +2,7 @@
 
 use super::Policy;
 use crate::interface::{Key, ServerId};
-use crate::state::{Burst, InFlightRequest, LeakyBucket, Purpose, Server, unit_hash};
+use crate::state::{BurstAllowance, HashPurpose, InFlightRequest, LeakyBucket, Server, unit_hash};
 
 /// A server in slow start gets at most this fraction of the load at which it collapses. That load is
 /// proportional to the fraction of its capacity that it has reached. The present load of a warm server counts
@@ -37,9 +37,9 @@
             self.safe_load(capacity_fraction) * self.capacity(server) / self.fleet.mean_capacity;
         // A hot key would come from all routers at once, within the burst that each of them may send.
         request.attempts_sent == 0
-            && unit_hash(key, server.endpoint.id, Purpose::SlowStart) < key_share
-            && self.burst(server).has_room()
-            && !self.recent_keys.has_repeated(key)
+            && unit_hash(key, server.endpoint.id, HashPurpose::SlowStart) < key_share
+            && self.burst_allowance(server).has_room()
+            && !self.recent_keys.is_repeated(key)
     }
 
     /// Fraction of its capacity that a server has at least, at its present age.
@@ -62,7 +62,7 @@
 
     /// The recent attempts at a server, in a leaky bucket that leaks at the rate the server can take, and the
     /// number it takes at once.
-    fn burst(&self, server: &Server) -> Burst {
+    fn burst_allowance(&self, server: &Server) -> BurstAllowance {
         let max_rate = self.safe_load(self.capacity_fraction(server))
             * self.warm_server_requests_per_s(server)
             / 1e6;
@@ -79,8 +79,8 @@
             / max_attempts
             / (1.0 + BURST_WINDOW_FRACTION / router_count);
         let rate = if max_attempts > 0.0 { mean_rate } else { 0.0 };
-        Burst {
-            attempts: server.slow_start.level(self.now, rate),
+        BurstAllowance {
+            attempts: server.slow_start_bucket.level(self.now, rate),
             depth: (rate * window * BURST_WINDOW_FRACTION).max(1.0),
         }
     }
@@ -91,9 +91,9 @@
     /// second shows an overload, in which the key shares of all kinds are cut and the request rate is more than
     /// any server can take.
     fn warm_server_requests_per_s(&self, server: &Server) -> f64 {
-        let long_term_rate = self.own_rate(self.request_rate.admitted_usually());
+        let long_term_rate = self.own_rate(self.request_rate.admitted_long_term());
         let expected_rate = long_term_rate * self.capacity(server) / self.fleet.total_capacity;
-        let kind = self.fleet.kind_of(server);
+        let kind = self.fleet.machine_kind_of(server);
         match kind.map(|kind| kind.answers_per_server.long_term()) {
             Some(answer_rate) if answer_rate > 0.0 => answer_rate.min(expected_rate),
             _ => expected_rate,
@@ -101,9 +101,12 @@
     }
 
     pub(super) fn count_attempt(&mut self, id: ServerId) {
-        let attempts = self.fleet.get(id).map(|s| self.burst(s).attempts + 1.0);
+        let attempts = self
+            .fleet
+            .get(id)
+            .map(|s| self.burst_allowance(s).attempts + 1.0);
         if let (Some(attempts), Some(server)) = (attempts, self.fleet.get_mut(id)) {
-            server.slow_start = LeakyBucket::new(attempts, self.now);
+            server.slow_start_bucket = LeakyBucket::new(attempts, self.now);
             server.in_flight += 1;
         }
     }
@@ -116,9 +119,9 @@
         let attempts = self
             .fleet
             .get(id)
-            .map(|s| random_level + self.burst(s).depth);
+            .map(|s| random_level + self.burst_allowance(s).depth);
         if let (Some(attempts), Some(server)) = (attempts, self.fleet.get_mut(id)) {
-            server.slow_start = LeakyBucket::new(attempts, self.now);
+            server.slow_start_bucket = LeakyBucket::new(attempts, self.now);
         }
     }
 }
--- a/crates/routing-policy/src/state/crossing.rs
+++ b/crates/routing-policy/src/state/crossing.rs
@@ -1,15 +1,15 @@
 //! Detects when a value crosses a threshold.
 
 /// The position of a value relative to a threshold, before and after a change.
-pub(crate) struct Crossing {
+pub(crate) struct ThresholdCrossing {
     was_below: bool,
     is_below: bool,
 }
 
-impl Crossing {
+impl ThresholdCrossing {
     /// Compares the values before and after a change with the threshold.
     pub(crate) fn new(before: f64, after: f64, threshold: f64) -> Self {
-        Crossing {
+        ThresholdCrossing {
             was_below: before < threshold,
             is_below: after < threshold,
         }
@@ -17,7 +17,7 @@
 
     /// Returns `fallen` if the value fell below the threshold, `risen` if it rose to or above it, and `None` if
     /// it did not cross.
-    pub(crate) fn choose<T>(&self, fallen: T, risen: T) -> Option<T> {
+    pub(crate) fn select<T>(&self, fallen: T, risen: T) -> Option<T> {
         if self.was_below == self.is_below {
             return None;
         }
--- a/crates/routing-policy/src/state/fleet.rs
+++ b/crates/routing-policy/src/state/fleet.rs
@@ -15,7 +15,7 @@
     /// The ready cache server with the highest weight in the endpoint list.
     pub(crate) heaviest: Option<ServerId>,
     /// Statistics of each machine kind.
-    pub(crate) kinds: BTreeMap<u16, MachineKind>,
+    pub(crate) machine_kinds: BTreeMap<u16, MachineKind>,
     /// Servers whose key share may be below 1. Only these have to grow.
     reduced_servers: BTreeSet<ServerId>,
     /// Total capacity of all ready cache servers.
@@ -25,7 +25,7 @@
     /// Smoothed service time of one request, without queueing time.
     pub(crate) service_time: SmoothedTime,
     /// Number of attempts in flight at cache servers.
-    pub(crate) cache_attempts: u32,
+    pub(crate) cache_attempts_in_flight: u32,
 }
 
 impl Fleet {
@@ -40,23 +40,26 @@
     }
 
     /// Returns a server and its machine kind for modification. Adds the kind if it is not yet known.
-    pub(crate) fn with_kind(&mut self, id: ServerId) -> Option<(&mut Server, &mut MachineKind)> {
+    pub(crate) fn server_and_kind_mut(
+        &mut self,
+        id: ServerId,
+    ) -> Option<(&mut Server, &mut MachineKind)> {
         let server = self.servers.get_mut(&id)?;
-        let kind = self.kinds.entry(server.endpoint.kind).or_default();
+        let kind = self.machine_kinds.entry(server.endpoint.kind).or_default();
         // A server's key share is reduced only through this reference.
         self.reduced_servers.insert(id);
         Some((server, kind))
     }
 
     /// The fraction of its keys that a server keeps, based on its machine kind alone.
-    pub(crate) fn kind_share(&self, server: &Server) -> f64 {
-        let kind = self.kind_of(server);
+    pub(crate) fn kind_key_share(&self, server: &Server) -> f64 {
+        let kind = self.machine_kind_of(server);
         kind.map_or(1.0, |kind| kind.key_share.get())
     }
 
     /// The fraction of its keys that a server keeps, based on its own results and those of its machine kind.
     pub(crate) fn key_share(&self, server: &Server) -> f64 {
-        server.key_share.get() * self.kind_share(server)
+        server.key_share.get() * self.kind_key_share(server)
     }
 
     /// Adds `fraction` to the key shares of all servers and kinds. This runs often, so it visits only the few
@@ -70,14 +73,14 @@
             server.key_share.grow(fraction);
             server.key_share.is_reduced()
         });
-        for kind in self.kinds.values_mut() {
+        for kind in self.machine_kinds.values_mut() {
             kind.key_share.grow(fraction);
         }
     }
 
     /// Updates the rates of all machine kinds with the events of the period that ends.
     pub(crate) fn end_period(&mut self, period: Micros) {
-        for kind in self.kinds.values_mut() {
+        for kind in self.machine_kinds.values_mut() {
             kind.answers_per_server.end_period(period);
         }
     }
@@ -89,43 +92,42 @@
         }
     }
 
-    /// Records the response time of an attempt. It is divided by one plus the requests per core, so that
-    /// queueing time is not counted. `service_weight` is its weight in the fleet's smoothed service time,
-    /// `fastest_weight` its weight in the server's fastest time. A response faster than the fastest time
-    /// replaces it.
-    pub(crate) fn record_time(
+    /// Records the answer time of an attempt. It is divided by one plus the requests per core, so that queueing
+    /// time is not counted. `service_weight` is its weight in the fleet's smoothed service time,
+    /// `min_time_weight` its weight in the server's minimum answer time. A faster answer replaces the minimum.
+    pub(crate) fn record_answer_time(
         &mut self,
         attempt: &Attempt,
         now: Micros,
         service_weight: f64,
-        fastest_weight: f64,
+        min_time_weight: f64,
     ) {
         let Some(server) = self.servers.get_mut(&attempt.server) else {
             return;
         };
-        let response_time = attempt.elapsed(now) as f64 / (1.0 + server.requests_per_core());
-        let is_faster = response_time < server.fastest.get();
-        let weight = if is_faster { 1.0 } else { fastest_weight };
-        server.fastest.record(response_time, weight);
-        self.service_time.record(response_time, service_weight);
+        let answer_time = attempt.elapsed(now) as f64 / (1.0 + server.requests_per_core());
+        let is_faster = answer_time < server.min_answer_time.get();
+        let weight = if is_faster { 1.0 } else { min_time_weight };
+        server.min_answer_time.record(answer_time, weight);
+        self.service_time.record(answer_time, service_weight);
     }
 
     /// Recounts the warm, ready cache servers of each machine kind.
     pub(crate) fn count_warm_servers(&mut self, now: Micros, warm_up_period: Micros) {
-        for kind in self.kinds.values_mut() {
+        for kind in self.machine_kinds.values_mut() {
             kind.warm_servers = 0;
         }
         let ready = self.servers.values().filter(|s| s.is_ready_cache());
         for server in ready.filter(|s| s.is_warm(now, warm_up_period)) {
-            if let Some(kind) = self.kinds.get_mut(&server.endpoint.kind) {
+            if let Some(kind) = self.machine_kinds.get_mut(&server.endpoint.kind) {
                 kind.warm_servers += 1;
             }
         }
     }
 
     /// The machine kind of a server, or `None` if nothing has been recorded for it.
-    pub(crate) fn kind_of(&self, server: &Server) -> Option<&MachineKind> {
-        self.kinds.get(&server.endpoint.kind)
+    pub(crate) fn machine_kind_of(&self, server: &Server) -> Option<&MachineKind> {
+        self.machine_kinds.get(&server.endpoint.kind)
     }
 
     /// Iterates over the ready cache servers in order of their IDs.
@@ -151,7 +153,7 @@
     /// Deletes removed servers that have no attempts in flight, and updates the rendezvous order and the
     /// heaviest server. Called after a list has been applied. One pass does all of it, because each pass over
     /// the fleet is a large part of the cost of a list update.
-    pub(crate) fn forget_removed(&mut self) {
+    pub(crate) fn apply_list_changes(&mut self) {
         let mut ready = Vec::with_capacity(self.servers.len());
         let mut heaviest: Option<(f32, ServerId)> = None;
         self.servers.retain(|id, server| {
--- a/crates/routing-policy/src/state/key_orders.rs
+++ b/crates/routing-policy/src/state/key_orders.rs
@@ -26,7 +26,7 @@
 
 impl RankedServer {
     /// The hash mapped to a number between 0 and 1. A few adjacent hashes map to the same number.
-    pub(crate) fn draw(self) -> f64 {
+    pub(crate) fn unit_hash(self) -> f64 {
         unit_interval(self.hash)
     }
 }
@@ -45,8 +45,8 @@
         self.lower_bound == 0
     }
 
-    /// Upper bound of [`RankedServer::draw`] for all servers in later segments.
-    pub(crate) fn most_draw_behind(&self) -> f64 {
+    /// Upper bound of [`RankedServer::unit_hash`] for all servers in later segments.
+    pub(crate) fn max_unit_hash_after(&self) -> f64 {
         unit_interval(self.lower_bound)
     }
 }
@@ -89,8 +89,8 @@
     }
 
     /// Returns the first segment of a key's order and removes it from the cache. The caller puts it back with
-    /// [`KeyOrders::keep`].
-    pub(crate) fn take_first(&mut self, key: Key) -> OrderSegment {
+    /// [`KeyOrders::cache_first_segment`].
+    pub(crate) fn take_first_segment(&mut self, key: Key) -> OrderSegment {
         let cached = self.cached.get_mut(cache_slot(key)).and_then(Option::take);
         match cached.filter(|order| order.key == key) {
             Some(order) => order.first,
@@ -99,7 +99,7 @@
     }
 
     /// Caches the first segment of a key's order.
-    pub(crate) fn keep(&mut self, key: Key, first: OrderSegment) {
+    pub(crate) fn cache_first_segment(&mut self, key: Key, first: OrderSegment) {
         if self.cached.is_empty() {
             self.cached.resize_with(CACHED_KEYS, || None);
         }
@@ -149,7 +149,7 @@
     let width = upper_bound - lower_bound;
     let mut found = Vec::with_capacity(2 * FIRST_SEGMENT_SERVERS as usize);
     for &server in servers {
-        let hash = position_hash.of(server);
+        let hash = position_hash.hash(server);
         // Wrapping subtraction checks both bounds with one comparison.
         if hash.wrapping_sub(lower_bound) <= width {
             found.push(RankedServer { hash, server });
--- a/crates/routing-policy/src/state/leaky_bucket.rs
+++ b/crates/routing-policy/src/state/leaky_bucket.rs
@@ -3,14 +3,14 @@
 use crate::interface::Micros;
 
 /// The recent attempts at a server, and the limit on them.
-pub(crate) struct Burst {
+pub(crate) struct BurstAllowance {
     /// The bucket level: attempts that have not yet leaked away.
     pub(crate) attempts: f64,
     /// The highest level of the bucket.
     pub(crate) depth: f64,
 }
 
-impl Burst {
+impl BurstAllowance {
     /// Whether another attempt is allowed.
     pub(crate) fn has_room(&self) -> bool {
         self.attempts < self.depth
--- a/crates/routing-policy/src/state/machine_kind.rs
+++ b/crates/routing-policy/src/state/machine_kind.rs
@@ -26,7 +26,7 @@
 
     /// Step size for adjusting the key share at the next attempt. It falls linearly from 1 to `min_step` over
     /// the first `ramp_attempts` attempts.
-    pub(crate) fn next_step(&mut self, min_step: f64, ramp_attempts: f64) -> f64 {
+    pub(crate) fn next_step_size(&mut self, min_step: f64, ramp_attempts: f64) -> f64 {
         self.judged_attempts += 1.0;
         min_step.max(1.0 - (1.0 - min_step) * self.judged_attempts / ramp_attempts)
     }
--- a/crates/routing-policy/src/state/majority_vote.rs
+++ b/crates/routing-policy/src/state/majority_vote.rs
@@ -10,7 +10,7 @@
 impl MajorityVote {
     /// Counts a value and returns whether it agrees with the candidate within the tolerance. The count is
     /// capped at `max_votes`, so that a change of the majority value is detected soon.
-    pub(crate) fn take(&mut self, value: u64, tolerance: f64, max_votes: u32) -> bool {
+    pub(crate) fn observe(&mut self, value: u64, tolerance: f64, max_votes: u32) -> bool {
         let agrees = value.abs_diff(self.candidate) as f64 <= tolerance;
         if agrees {
             self.votes = (self.votes + 1).min(max_votes);
--- a/crates/routing-policy/src/state/origin_calls.rs
+++ b/crates/routing-policy/src/state/origin_calls.rs
@@ -1,6 +1,6 @@
 //! Counts calls to the origin: those outstanding, and those sent in the current window.
 
-use super::CallKind;
+use super::AttemptKind;
 use crate::interface::Micros;
 
 /// A number of calls, and how many of them are fetches.
@@ -11,14 +11,14 @@
 }
 
 impl CallCounts {
-    fn add(&mut self, call: CallKind) {
+    fn add(&mut self, kind: AttemptKind) {
         self.all += 1;
-        self.fetches += u32::from(call == CallKind::OriginFetch);
+        self.fetches += u32::from(kind == AttemptKind::OriginFetch);
     }
 
-    fn remove(&mut self, call: CallKind) {
+    fn remove(&mut self, kind: AttemptKind) {
         self.all -= 1;
-        self.fetches -= u32::from(call == CallKind::OriginFetch);
+        self.fetches -= u32::from(kind == AttemptKind::OriginFetch);
     }
 
     /// Whether one more call of any kind stays within `limit`.
@@ -47,14 +47,14 @@
 
 impl OriginCalls {
     /// Counts a call when it is sent.
-    pub(crate) fn begin(&mut self, call: CallKind) {
-        self.outstanding.add(call);
-        self.window_counts.add(call);
+    pub(crate) fn record_sent(&mut self, kind: AttemptKind) {
+        self.outstanding.add(kind);
+        self.window_counts.add(kind);
     }
 
     /// Removes a call from the outstanding count when it ends.
-    pub(crate) fn end(&mut self, call: CallKind) {
-        self.outstanding.remove(call);
+    pub(crate) fn record_ended(&mut self, kind: AttemptKind) {
+        self.outstanding.remove(kind);
     }
 
     /// The calls that have no outcome yet.
@@ -63,7 +63,7 @@
     }
 
     /// The calls sent in the current window. Starts a new window if the current one is over.
-    pub(crate) fn tally(&mut self, now: Micros, window: Micros) -> &CallCounts {
+    pub(crate) fn sent_in_window(&mut self, now: Micros, window: Micros) -> &CallCounts {
         if now >= self.window_start + window {
             self.window_start = now;
             self.window_counts = CallCounts::default();
--- a/crates/routing-policy/src/state/position_hash.rs
+++ b/crates/routing-policy/src/state/position_hash.rs
@@ -1,7 +1,7 @@
 //! The hash that determines each server's position in a key's rendezvous order, optimized for hashing one key
 //! with many servers.
 
-use super::Purpose;
+use super::HashPurpose;
 use crate::interface::{Key, ServerId};
 
 /// XXH3 constants for inputs of 9 to 16 bytes: pairs of words of the default secret, each combined by XOR, and
@@ -26,7 +26,7 @@
 impl PositionHash {
     /// Precomputes the part of the hash that depends on the key.
     pub(crate) fn new(key: Key) -> Self {
-        let seed = Purpose::Position as u64;
+        let seed = HashPurpose::Position as u64;
         let low = key ^ LOW_SECRET.wrapping_add(seed);
         PositionHash {
             low,
@@ -36,7 +36,7 @@
     }
 
     /// Returns the hash of the key and `server`.
-    pub(crate) fn of(self, server: ServerId) -> u64 {
+    pub(crate) fn hash(self, server: ServerId) -> u64 {
         let high = self.high ^ (u64::from(server) << u32::BITS);
         let product = u128::from(self.low) * u128::from(high);
         let folded = (product as u64) ^ ((product >> u64::BITS) as u64);
--- a/crates/routing-policy/src/state/recent_keys.rs
+++ b/crates/routing-policy/src/state/recent_keys.rs
@@ -18,7 +18,7 @@
     }
 
     /// Whether the list contains a key at least twice.
-    pub(crate) fn has_repeated(&self, key: Key) -> bool {
+    pub(crate) fn is_repeated(&self, key: Key) -> bool {
         let same = self.latest_first.iter().filter(|recent| **recent == key);
         same.count() > 1
     }
--- a/crates/routing-policy/src/state/request.rs
+++ b/crates/routing-policy/src/state/request.rs
@@ -13,7 +13,7 @@
     /// Whether it is a write, which goes directly to the origin.
     pub(crate) is_write: bool,
     /// Whether a cache server has reported a miss.
-    pub(crate) missed: bool,
+    pub(crate) has_missed: bool,
     /// Index of the tenant whose quota was charged for it.
     pub(crate) charged_tenant: Option<usize>,
     /// The time until which a response still has value: its latency objective, or its deadline if late
@@ -30,7 +30,7 @@
     /// Number of its latest deferral, 0 for none.
     pub(crate) deferral: u32,
     /// Attempts that are running or may have run, oldest first.
-    pub(crate) possibly_executed: Vec<PossibleExecution>,
+    pub(crate) possible_executions: Vec<PossibleExecution>,
 }
 
 /// An attempt that is running or may have run.
@@ -58,7 +58,7 @@
         let number = self.attempts_sent;
         self.attempts_sent += 1;
         self.attempts_in_flight += 1;
-        self.possibly_executed.push(PossibleExecution {
+        self.possible_executions.push(PossibleExecution {
             number,
             sent_at: now,
             server,
@@ -70,18 +70,18 @@
     pub(crate) fn end_attempt(&mut self, number: u16, status: AttemptStatus) {
         self.attempts_in_flight -= 1;
         if status.proves_not_run() {
-            self.possibly_executed
+            self.possible_executions
                 .retain(|execution| execution.number != number);
         }
-        self.missed |= status == AttemptStatus::Miss;
+        self.has_missed |= status == AttemptStatus::Miss;
     }
 
     /// The kind of call that this request makes to the origin.
-    pub(crate) fn origin_call(&self) -> CallKind {
+    pub(crate) fn origin_attempt_kind(&self) -> AttemptKind {
         if self.is_write {
-            CallKind::OriginWrite
+            AttemptKind::OriginWrite
         } else {
-            CallKind::OriginFetch
+            AttemptKind::OriginFetch
         }
     }
 
@@ -113,7 +113,7 @@
 
 /// The kind of operation that an attempt performs.
 #[derive(Clone, Copy, PartialEq)]
-pub(crate) enum CallKind {
+pub(crate) enum AttemptKind {
     /// A read from a cache server.
     CacheRead,
     /// A read from the origin after a cache miss.
@@ -128,7 +128,7 @@
     /// The server that it was sent to.
     pub(crate) server: ServerId,
     /// The kind of operation.
-    pub(crate) call: CallKind,
+    pub(crate) kind: AttemptKind,
     /// When it was sent or, if it had to wait for a connection, when it was written.
     pub(crate) sent_at: Micros,
     /// The latency objective of the request's class.
@@ -143,14 +143,14 @@
     /// Creates an attempt that is sent at `now`.
     pub(crate) fn new(
         server: ServerId,
-        call: CallKind,
+        kind: AttemptKind,
         now: Micros,
         objective: Micros,
         slow_after: Micros,
     ) -> Self {
         Attempt {
             server,
-            call,
+            kind,
             sent_at: now,
             objective,
             slow_after,
@@ -160,7 +160,7 @@
 
     /// Whether this is a read from a cache server.
     pub(crate) fn is_cache_read(&self) -> bool {
-        self.call == CallKind::CacheRead
+        self.kind == AttemptKind::CacheRead
     }
 
     /// Time since the attempt was sent.
--- a/crates/routing-policy/src/state/server.rs
+++ b/crates/routing-policy/src/state/server.rs
@@ -12,7 +12,7 @@
     /// When the ejection ends.
     pub(crate) until: Micros,
     /// Duration of the ejection.
-    pub(crate) time: Micros,
+    pub(crate) duration: Micros,
 }
 
 /// A server of the endpoint list, and what this router has observed of it.
@@ -31,20 +31,20 @@
     /// Count of its responses, as of `answered_at`. The count decays exponentially with a time constant of one
     /// latency objective.
     pub(crate) answers: f64,
-    /// Approximately its shortest response time, including the network.
-    pub(crate) fastest: SmoothedTime,
+    /// Approximately its shortest answer time, including the network.
+    pub(crate) min_answer_time: SmoothedTime,
     /// The fraction of its keys that it keeps.
     pub(crate) key_share: KeyShare,
     /// Total of the steps by which it has reduced its machine kind's key share since its last response in time.
-    pub(crate) kind_steps: f64,
+    pub(crate) kind_cut_steps: f64,
     /// Up-down count of failures: each failure adds one, each response subtracts one, not below 0.
-    pub(crate) consecutive_failures: u32,
+    pub(crate) failure_count: u32,
     /// Whether its last failure was a failure to connect.
     pub(crate) unreachable: bool,
     /// Its ejection. It remains set after its end, until the server responds.
     pub(crate) ejection: Option<Ejection>,
     /// Recent attempts at this server, which slow start limits.
-    pub(crate) slow_start: LeakyBucket,
+    pub(crate) slow_start_bucket: LeakyBucket,
 }
 
 impl Server {
@@ -59,9 +59,9 @@
         self.answered_at = now;
     }
 
-    /// Reduces the count of consecutive failures by one.
-    pub(crate) fn forgive_failure(&mut self) {
-        self.consecutive_failures = self.consecutive_failures.saturating_sub(1);
+    /// Reduces the failure count by one, not below 0.
+    pub(crate) fn decrement_failures(&mut self) {
+        self.failure_count = self.failure_count.saturating_sub(1);
     }
 
     /// The count of its responses, decayed to `now` with the given time constant.
--- a/crates/routing-policy/src/state/timer_queue.rs
+++ b/crates/routing-policy/src/state/timer_queue.rs
@@ -44,13 +44,17 @@
     }
 
     /// Records that the router's timer has fired.
-    pub(crate) fn fired(&mut self) {
+    pub(crate) fn router_timer_fired(&mut self) {
         self.armed = None;
     }
 
     /// Removes and returns the next timer that is due. If none is due, makes sure that the router's timer is
     /// set for the earliest pending one.
-    pub(crate) fn next_due(&mut self, now: Micros, actions: &mut Vec<Action>) -> Option<Timer> {
+    pub(crate) fn pop_due_or_arm(
+        &mut self,
+        now: Micros,
+        actions: &mut Vec<Action>,
+    ) -> Option<Timer> {
         let &Reverse((time, timer)) = self.queue.peek()?;
         if time <= now {
             self.queue.pop();
--- a/crates/routing-policy/src/state/token_bucket.rs
+++ b/crates/routing-policy/src/state/token_bucket.rs
@@ -13,7 +13,7 @@
 impl TokenBucket {
     /// Adds the tokens that have accrued since the last refill, up to `depth`. Returns whether at least one
     /// token is available.
-    pub(crate) fn fill(&mut self, now: Micros, per_s: f64, depth: f64) -> bool {
+    pub(crate) fn refill(&mut self, now: Micros, per_s: f64, depth: f64) -> bool {
         let added = per_s.max(0.0) * now.saturating_sub(self.refilled_at) as f64 / 1e6;
         // An infinite rate times zero elapsed time is NaN.
         if !added.is_nan() {
@@ -29,7 +29,7 @@
     }
 
     /// Returns one token to the bucket.
-    pub(crate) fn give_back(&mut self) {
+    pub(crate) fn refund(&mut self) {
         self.tokens += 1.0;
     }
 }
--- a/crates/routing-policy/src/state/unit_hash.rs
+++ b/crates/routing-policy/src/state/unit_hash.rs
@@ -7,7 +7,7 @@
 /// What a hash is used for. Each purpose has its own seed, so hashes for different purposes are independent.
 /// The values are fixed because all routers must agree on them.
 #[derive(Clone, Copy)]
-pub(crate) enum Purpose {
+pub(crate) enum HashPurpose {
     /// The position of a server in a key's rendezvous order.
     Position = 0,
     /// Which keys a server in slow start receives.
@@ -19,7 +19,7 @@
 }
 
 /// Returns a number between 0 and 1 that is fixed for a key (or request ID), a server and a purpose.
-pub(crate) fn unit_hash(key: Key, server: ServerId, purpose: Purpose) -> f64 {
+pub(crate) fn unit_hash(key: Key, server: ServerId, purpose: HashPurpose) -> f64 {
     let mut bytes = [0u8; 12];
     bytes[..8].copy_from_slice(&key.to_le_bytes());
     bytes[8..].copy_from_slice(&server.to_le_bytes());
--- a/crates/routing-policy/tests/admission.rs
+++ b/crates/routing-policy/tests/admission.rs
@@ -20,55 +20,57 @@
         remaining_deadline: left * MS,
         ..read(id, id)
     };
-    let serve_reads = |router: &mut Router, ids: std::ops::RangeInclusive<u64>, left| {
+    let serve_reads = |router: &mut TestRouter, ids: std::ops::RangeInclusive<u64>, left| {
         for id in ids {
-            let server = sent_to(&router.request(read_with_time_left(id, left))).expect("sent");
-            router.outcome(id, 0, server, AttemptStatus::Served);
+            let server =
+                sent_to(&router.send_request(read_with_time_left(id, left))).expect("sent");
+            router.complete_attempt(id, 0, server, AttemptStatus::Served);
         }
     };
-    let mut unloaded_router = Router::new(settings(), 4);
+    let mut unloaded_router = TestRouter::new(settings(), 4);
     serve_reads(&mut unloaded_router, 1..=20, 1200);
     assert_eq!(
-        sends(&unloaded_router.request(read_with_time_left(21, 600))),
+        count_sends(&unloaded_router.send_request(read_with_time_left(21, 600))),
         1,
         "late, but there is no overload"
     );
-    let mut router = Router::just_started(settings(), 4);
+    let mut router = TestRouter::just_started(settings(), 4);
     serve_reads(&mut router, 1..=1, 600); // Nothing is known of the usual deadline yet.
     serve_reads(&mut router, 2..=20, 1200);
     serve_reads(&mut router, 22..=22, 1198); // The network took a little of the time.
     assert!(
-        rejected(&router.request(read_with_time_left(23, 600)), 23),
+        is_rejected(&router.send_request(read_with_time_left(23, 600)), 23),
         "its first try was 900 ms ago"
     );
     assert_eq!(
-        sends(&router.request(read_with_time_left(24, 900))),
+        count_sends(&router.send_request(read_with_time_left(24, 900))),
         1,
         "150 ms of its objective are left"
     );
     assert_eq!(
-        sends(&router.request(read_with_time_left(25, 1400))),
+        count_sends(&router.send_request(read_with_time_left(25, 1400))),
         1,
         "650 ms of its objective are left"
     );
-    assert!(!rejected(&router.advance(140 * MS), 24));
-    assert!(rejected(&router.advance(15 * MS), 24));
-    assert!(!rejected(&router.advance(485 * MS), 25));
-    assert!(rejected(&router.advance(15 * MS), 25));
+    assert!(!is_rejected(&router.advance(140 * MS), 24));
+    assert!(is_rejected(&router.advance(15 * MS), 24));
+    assert!(!is_rejected(&router.advance(485 * MS), 25));
+    assert!(is_rejected(&router.advance(15 * MS), 25));
     let late = Request {
         remaining_deadline: 100 * MS,
         ..write(26, 1)
     };
     assert_eq!(
-        sends(&router.request(late)),
+        count_sends(&router.send_request(late)),
         1,
         "a write takes effect even if it is late"
     );
     let mut rejections = 0;
     for id in 31..=60 {
-        let answer = router.request(read_with_time_left(id, 600));
-        rejections += usize::from(rejected(&answer, id));
-        sent_to(&answer).map(|server| router.outcome(id, 0, server, AttemptStatus::Served));
+        let answer = router.send_request(read_with_time_left(id, 600));
+        rejections += usize::from(is_rejected(&answer, id));
+        sent_to(&answer)
+            .map(|server| router.complete_attempt(id, 0, server, AttemptStatus::Served));
     }
     assert!(
         rejections < 20,
@@ -80,18 +82,18 @@
 fn under_overload_a_tenant_over_its_quota_is_rejected_and_the_other_is_served() {
     let mut config = settings();
     config.tenants = vec![Tenant { quota_per_s: 50.0 }, Tenant { quota_per_s: 50.0 }];
-    let mut router = Router::new(config, 20);
+    let mut router = TestRouter::new(config, 20);
     let (mut served, mut requested) = ([0, 0], [0, 0]);
     for id in 1..=3000u64 {
         router.advance(5 * MS);
         let tenant = usize::from(id % 6 == 0);
-        let answer = router.request(Request {
+        let answer = router.send_request(Request {
             tenant,
             ..read(id, id)
         });
         if id > 1000 {
             requested[tenant] += 1;
-            served[tenant] += sends(&answer);
+            served[tenant] += count_sends(&answer);
         }
         let (status, to) = (
             if id % 16 == 0 {
@@ -103,7 +105,7 @@
         );
         if let Some(mut to) = to {
             let mut attempt = 0;
-            while let Some(next) = sent_to(&router.outcome(id, attempt, to, status)) {
+            while let Some(next) = sent_to(&router.complete_attempt(id, attempt, to, status)) {
                 (to, attempt) = (next, attempt + 1);
             }
         }
@@ -131,19 +133,20 @@
         may_hedge: false,
         ..settings()
     };
-    let mut router = Router::just_started(config, 70);
+    let mut router = TestRouter::just_started(config, 70);
     let (mut sent, mut requested) = ([0, 0], [0, 0]);
     for id in 1..=400u64 {
         router.advance(250 * MS);
         let tenant = usize::from(id % 6 == 0); // 3.3 a second of the first, 0.67 of the other, quota 1 each.
-        let answer = router.request(Request {
+        let answer = router.send_request(Request {
             tenant,
             ..read(id, id)
         });
-        (requested[tenant], sent[tenant]) = (requested[tenant] + 1, sent[tenant] + sends(&answer));
+        (requested[tenant], sent[tenant]) =
+            (requested[tenant] + 1, sent[tenant] + count_sends(&answer));
         if let Some(to) = sent_to(&answer) {
             router.advance(650 * MS * u64::from(id % 5 == 0)); // One in five is nearly late: some overload.
-            router.outcome(id, 0, to, AttemptStatus::Served);
+            router.complete_attempt(id, 0, to, AttemptStatus::Served);
         }
     }
     assert!(
@@ -165,11 +168,11 @@
         ..settings()
     };
     config.tenants = vec![Tenant { quota_per_s: 100.0 }; 9];
-    let mut router = Router::just_started(config, 500);
+    let mut router = TestRouter::just_started(config, 500);
     let mut sent = Vec::new();
     for id in 1..=45u64 {
         router.advance(200 * MS);
-        sent.push(sends(&router.request(Request {
+        sent.push(count_sends(&router.send_request(Request {
             tenant: id as usize % 9,
             ..read(id, id)
         }))); // No server answers.
--- a/crates/routing-policy/tests/common/mod.rs
+++ b/crates/routing-policy/tests/common/mod.rs
@@ -14,7 +14,7 @@
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
-pub struct Router {
+pub struct TestRouter {
     pub policy: Policy,
     pub now: Micros,
     pub actions: Vec<Action>,
@@ -87,10 +87,10 @@
     }
 }
 
-impl Router {
+impl TestRouter {
     /// A router that has been running for 10 s without overload.
     pub fn new(settings: Settings, servers: u32) -> Self {
-        let mut router = Router::just_started(settings, servers);
+        let mut router = TestRouter::just_started(settings, servers);
         router.advance(10 * SECOND);
         router
     }
@@ -98,13 +98,13 @@
     /// A router that has just started, with cache servers 1 to `servers` and an origin that have long been
     /// running. The clock is at 60 s.
     pub fn just_started(settings: Settings, servers: u32) -> Self {
-        Router::seeded(settings, servers, 7)
+        TestRouter::seeded(settings, servers, 7)
     }
 
-    /// Like [`Router::just_started`] with a given seed, so that each of many routers can have its own.
+    /// Like [`TestRouter::just_started`] with a given seed, so that each of many routers can have its own.
     pub fn seeded(settings: Settings, servers: u32, seed: u64) -> Self {
         let policy = Policy::new(settings, seed);
-        let mut router = Router {
+        let mut router = TestRouter {
             policy,
             now: 60 * SECOND,
             actions: Vec::new(),
@@ -112,12 +112,12 @@
         };
         let mut endpoints: Vec<_> = (1..=servers).map(server).collect();
         endpoints.push(origin());
-        router.list(ListUpdate::Cached, endpoints);
+        router.update_endpoints(ListUpdate::Cached, endpoints);
         router
     }
 
     /// Passes an event to the policy and returns the actions that it causes.
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle_event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.policy.handle(self.now, event, &mut actions);
         for action in &actions {
@@ -129,18 +129,18 @@
         actions
     }
 
-    pub fn list(&mut self, kind: ListUpdate, servers: Vec<Endpoint>) -> Vec<Action> {
-        self.event(Event::EndpointList {
+    pub fn update_endpoints(&mut self, kind: ListUpdate, servers: Vec<Endpoint>) -> Vec<Action> {
+        self.handle_event(Event::EndpointList {
             update: kind,
             endpoints: servers,
         })
     }
 
-    pub fn request(&mut self, request: Request) -> Vec<Action> {
-        self.event(Event::Request(request))
+    pub fn send_request(&mut self, request: Request) -> Vec<Action> {
+        self.handle_event(Event::Request(request))
     }
 
-    pub fn outcome(
+    pub fn complete_attempt(
         &mut self,
         request: RequestId,
         attempt: u16,
@@ -158,7 +158,7 @@
             elapsed: MS,
             load: LoadReport::default(),
         };
-        self.event(Event::AttemptOutcome(outcome))
+        self.handle_event(Event::AttemptOutcome(outcome))
     }
 
     /// Advances the clock, fires the timers that come due, and returns the actions that they cause.
@@ -167,7 +167,7 @@
         let first_action = self.actions.len();
         while let Some(due) = take_due(&mut self.timers, end) {
             self.now = due;
-            self.event(Event::Timer(0));
+            self.handle_event(Event::Timer(0));
         }
         self.now = end;
         self.actions[first_action..].to_vec()
@@ -182,20 +182,20 @@
     })
 }
 
-pub fn sends(actions: &[Action]) -> usize {
+pub fn count_sends(actions: &[Action]) -> usize {
     actions
         .iter()
         .filter(|a| matches!(a, Action::Send { .. }))
         .count()
 }
 
-pub fn rejected(actions: &[Action], id: RequestId) -> bool {
+pub fn is_rejected(actions: &[Action], id: RequestId) -> bool {
     actions
         .iter()
         .any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
 }
 
-pub fn failed(actions: &[Action], id: RequestId) -> bool {
+pub fn is_failed(actions: &[Action], id: RequestId) -> bool {
     actions.contains(&Action::Fail(id))
 }
 
@@ -210,26 +210,26 @@
 }
 
 /// Returns the server that a read of `key` is sent to first. The read is served at once.
-pub fn first_choice(router: &mut Router, key: Key) -> ServerId {
+pub fn first_server_for(router: &mut TestRouter, key: Key) -> ServerId {
     let id = 1_000_000 + router.actions.len() as RequestId;
-    let server = sent_to(&router.request(read(id, key))).unwrap();
-    router.outcome(id, 0, server, AttemptStatus::Served);
+    let server = sent_to(&router.send_request(read(id, key))).unwrap();
+    router.complete_attempt(id, 0, server, AttemptStatus::Served);
     server
 }
 
-/// Reads keys 1 to 200 and returns the keys sent to `slow_server`. That server takes `response_time` for each
+/// Reads keys 1 to 200 and returns the keys sent to `slow_server`. That server takes `answer_time` for each
 /// response, the others 1 ms.
-pub fn keys_at(
-    router: &mut Router,
+pub fn keys_sent_to(
+    router: &mut TestRouter,
     first_id: RequestId,
     slow_server: ServerId,
-    response_time: Micros,
+    answer_time: Micros,
 ) -> Vec<Key> {
     let send_read = |key: Key| {
         let id = first_id + key;
-        let to = sent_to(&router.request(read(id, key))).unwrap();
-        router.advance(if to == slow_server { response_time } else { MS });
-        router.outcome(id, 0, to, AttemptStatus::Served);
+        let to = sent_to(&router.send_request(read(id, key))).unwrap();
+        router.advance(if to == slow_server { answer_time } else { MS });
+        router.complete_attempt(id, 0, to, AttemptStatus::Served);
         (to == slow_server).then_some(key)
     };
     (1..=200).filter_map(send_read).collect()
--- a/crates/routing-policy/tests/endpoints.rs
+++ b/crates/routing-policy/tests/endpoints.rs
@@ -28,8 +28,8 @@
     let draining = delta(EndpointState::Draining);
     let removed = delta(EndpointState::Removed);
     for Case { update, state } in [draining, removed, unlisted] {
-        let mut router = Router::new(settings(), 3);
-        let first = sent_to(&router.request(read(1, 9))).unwrap();
+        let mut router = TestRouter::new(settings(), 3);
+        let first = sent_to(&router.send_request(read(1, 9))).unwrap();
         let endpoints = match update {
             ListUpdate::Full => (1..=3)
                 .filter(|id| *id != first)
@@ -41,9 +41,9 @@
                 ..server(first)
             }],
         };
-        router.list(update, endpoints);
+        router.update_endpoints(update, endpoints);
         for id in 2..=40 {
-            assert_ne!(sent_to(&router.request(read(id, id))), Some(first));
+            assert_ne!(sent_to(&router.send_request(read(id, id))), Some(first));
         }
     }
 }
@@ -54,13 +54,13 @@
         poll_discovery: true,
         ..settings()
     };
-    let mut router = Router::new(config, 3);
+    let mut router = TestRouter::new(config, 3);
     assert!(
         router.actions.contains(&Action::Subscribe(true)),
         "subscribes at the start"
     );
     router.actions.clear();
-    router.list(ListUpdate::Failed, Vec::new());
+    router.update_endpoints(ListUpdate::Failed, Vec::new());
     assert!(!router.actions.contains(&Action::Subscribe(true)));
     assert!(
         router
@@ -68,14 +68,14 @@
             .contains(&Action::Subscribe(true))
     );
     assert!(
-        sent_to(&router.request(read(1, 9))).is_some(),
+        sent_to(&router.send_request(read(1, 9))).is_some(),
         "the old list stays in force"
     );
 }
 
 #[test]
 fn a_stalled_watch_is_reopened_at_once() {
-    let mut router = Router::new(
+    let mut router = TestRouter::new(
         Settings {
             poll_discovery: true,
             ..settings()
@@ -84,7 +84,7 @@
     );
     router.actions.clear();
     for _ in 0..2 {
-        router.list(ListUpdate::WatchSilent, Vec::new());
+        router.update_endpoints(ListUpdate::WatchSilent, Vec::new());
         assert!(router.actions.contains(&Action::Subscribe(true)));
         router.actions.clear();
     }
@@ -95,7 +95,7 @@
         "and once only"
     );
     assert!(
-        sent_to(&router.request(read(1, 9))).is_some(),
+        sent_to(&router.send_request(read(1, 9))).is_some(),
         "the old list stays in force"
     );
 }
@@ -107,9 +107,9 @@
         notified_within: 10 * SECOND,
         ..settings()
     };
-    let mut router = Router::new(config, 3);
+    let mut router = TestRouter::new(config, 3);
     for call in 0..50 {
-        router.list(ListUpdate::Failed, Vec::new());
+        router.update_endpoints(ListUpdate::Failed, Vec::new());
         assert!(
             router
                 .advance(4 * SECOND)
@@ -132,9 +132,9 @@
             balancer_count: routers,
             ..settings()
         };
-        let mut router = Router::seeded(config, 3, seed);
+        let mut router = TestRouter::seeded(config, 3, seed);
         let mut next_call = || {
-            router.list(ListUpdate::Failed, Vec::new());
+            router.update_endpoints(ListUpdate::Failed, Vec::new());
             (1..400)
                 .find(|_| router.advance(10 * MS).contains(&Action::Subscribe(true)))
                 .expect("calls again")
@@ -186,9 +186,9 @@
                 notified_within,
                 ..settings()
             };
-            let mut router = Router::seeded(config, 3, seed);
+            let mut router = TestRouter::seeded(config, 3, seed);
             for _ in 0..6 {
-                router.list(ListUpdate::Failed, Vec::new());
+                router.update_endpoints(ListUpdate::Failed, Vec::new());
                 let since = router.now;
                 while !router.advance(10 * MS).contains(&Action::Subscribe(true)) {
                     assert!(
--- a/crates/routing-policy/tests/outlier.rs
+++ b/crates/routing-policy/tests/outlier.rs
@@ -13,67 +13,72 @@
 
 #[test]
 fn a_silent_server_is_ejected_and_readmitted_when_it_answers_a_trial() {
-    let mut router = Router::new(
+    let mut router = TestRouter::new(
         Settings {
             may_hedge: false,
             ..settings()
         },
         4,
     );
-    let victim = sent_to(&router.request(read(1, 9))).unwrap();
+    let failing_server = sent_to(&router.send_request(read(1, 9))).unwrap();
     for id in 2..=3 {
-        router.request(read(id, 9));
+        router.send_request(read(id, 9));
     }
     router.advance(1600 * MS);
     for id in 1..=3 {
-        router.outcome(id, 0, victim, AttemptStatus::TimedOut);
+        router.complete_attempt(id, 0, failing_server, AttemptStatus::TimedOut);
     }
     assert_ne!(
-        sent_to(&router.request(read(10, 9))),
-        Some(victim),
+        sent_to(&router.send_request(read(10, 9))),
+        Some(failing_server),
         "ejected"
     );
     router.advance(10 * SECOND);
     assert_eq!(
-        sent_to(&router.request(read(11, 9))),
-        Some(victim),
+        sent_to(&router.send_request(read(11, 9))),
+        Some(failing_server),
         "one trial"
     );
     assert_ne!(
-        sent_to(&router.request(read(12, 9))),
-        Some(victim),
+        sent_to(&router.send_request(read(12, 9))),
+        Some(failing_server),
         "no more while it is in flight"
     );
-    router.outcome(11, 0, victim, AttemptStatus::Served);
+    router.complete_attempt(11, 0, failing_server, AttemptStatus::Served);
     assert_eq!(
-        sent_to(&router.request(read(13, 9))),
-        Some(victim),
+        sent_to(&router.send_request(read(13, 9))),
+        Some(failing_server),
         "readmitted"
     );
 }
 
 #[test]
 fn one_slow_answer_ejects_no_server() {
-    let mut router = Router::new(settings(), 4);
-    let first = sent_to(&router.request(read(1, 10))).unwrap();
+    let mut router = TestRouter::new(settings(), 4);
+    let first = sent_to(&router.send_request(read(1, 10))).unwrap();
     router.advance(1600 * MS);
-    router.outcome(1, 0, first, AttemptStatus::TimedOut);
-    assert_eq!(sent_to(&router.request(read(2, 10))), Some(first));
+    router.complete_attempt(1, 0, first, AttemptStatus::TimedOut);
+    assert_eq!(sent_to(&router.send_request(read(2, 10))), Some(first));
 }
 
 #[test]
 fn servers_are_still_tried_when_most_are_ejected() {
-    let mut router = Router::new(settings(), 4);
+    let mut router = TestRouter::new(settings(), 4);
     for id in 1..=60 {
-        let mut to = sent_to(&router.request(read(id, id)));
+        let mut to = sent_to(&router.send_request(read(id, id)));
         let mut attempt = 0;
         while let Some(server) = to {
-            to = sent_to(&router.outcome(id, attempt, server, AttemptStatus::ConnectFailed));
+            to = sent_to(&router.complete_attempt(
+                id,
+                attempt,
+                server,
+                AttemptStatus::ConnectFailed,
+            ));
             attempt += 1;
         }
     }
     assert!(
-        sent_to(&router.request(read(100, 3))).is_some(),
+        sent_to(&router.send_request(read(100, 3))).is_some(),
         "still tried, since the cause is shared"
     );
 }
@@ -82,25 +87,27 @@
 fn a_server_that_refused_connections_and_answers_again_is_presumed_restarted() {
     // When servers crashed, the endpoint list showed the new process only seconds after it had begun to take
     // requests.
-    let mut router = Router::new(settings(), 4);
-    let victim = sent_to(&router.request(read(1, 9))).unwrap();
+    let mut router = TestRouter::new(settings(), 4);
+    let failing_server = sent_to(&router.send_request(read(1, 9))).unwrap();
     for id in 1..=3 {
-        let next = sent_to(&router.outcome(id, 0, victim, AttemptStatus::ConnectFailed)).unwrap();
-        router.outcome(id, 1, next, AttemptStatus::Served);
+        let next =
+            sent_to(&router.complete_attempt(id, 0, failing_server, AttemptStatus::ConnectFailed))
+                .unwrap();
+        router.complete_attempt(id, 1, next, AttemptStatus::Served);
         router.advance(10 * SECOND);
         assert_eq!(
-            sent_to(&router.request(read(id + 1, 9))),
-            Some(victim),
+            sent_to(&router.send_request(read(id + 1, 9))),
+            Some(failing_server),
             "on trial"
         );
     }
-    router.outcome(4, 0, victim, AttemptStatus::Served);
+    router.complete_attempt(4, 0, failing_server, AttemptStatus::Served);
     let mut on_trial = 0;
     for id in 10..200 {
         router.advance(20 * MS);
-        let to = sent_to(&router.request(read(id, id))).unwrap();
-        on_trial += usize::from(to == victim);
-        router.outcome(id, 0, to, AttemptStatus::Served);
+        let to = sent_to(&router.send_request(read(id, id))).unwrap();
+        on_trial += usize::from(to == failing_server);
+        router.complete_attempt(id, 0, to, AttemptStatus::Served);
     }
     assert!(
         (1..30).contains(&on_trial),
@@ -112,8 +119,8 @@
 fn a_server_whose_connections_break_is_not_presumed_restarted() {
     // When connections were reset, a single lost connection, however long ago, took a server's keys away for
     // its whole warm-up period.
-    let mut router = Router::new(settings(), 4);
-    let mut victim = 0;
+    let mut router = TestRouter::new(settings(), 4);
+    let mut failing_server = 0;
     let statuses = [
         AttemptStatus::ConnectFailed,
         AttemptStatus::Served,
@@ -122,40 +129,40 @@
         AttemptStatus::Reset,
     ];
     for (id, status) in (1..).zip(statuses) {
-        victim = sent_to(&router.request(read(id, 9))).unwrap();
-        if let Some(next) = sent_to(&router.outcome(id, 0, victim, status)) {
-            router.outcome(id, 1, next, AttemptStatus::Served);
+        failing_server = sent_to(&router.send_request(read(id, 9))).unwrap();
+        if let Some(next) = sent_to(&router.complete_attempt(id, 0, failing_server, status)) {
+            router.complete_attempt(id, 1, next, AttemptStatus::Served);
         }
     }
-    let other = sent_to(&router.request(read(20, 9))).unwrap();
-    assert_ne!(other, victim, "ejected");
-    router.outcome(20, 0, other, AttemptStatus::Served);
+    let other = sent_to(&router.send_request(read(20, 9))).unwrap();
+    assert_ne!(other, failing_server, "ejected");
+    router.complete_attempt(20, 0, other, AttemptStatus::Served);
     router.advance(10 * SECOND);
-    let mut at_victim = 0;
+    let mut attempts_at_failing_server = 0;
     for id in 100..300 {
-        let to = sent_to(&router.request(read(id, id))).unwrap();
-        at_victim += usize::from(to == victim);
-        router.outcome(id, 0, to, AttemptStatus::Served);
+        let to = sent_to(&router.send_request(read(id, id))).unwrap();
+        attempts_at_failing_server += usize::from(to == failing_server);
+        router.complete_attempt(id, 0, to, AttemptStatus::Served);
     }
     assert!(
-        at_victim >= 30,
-        "its share of the keys: {at_victim} of about 50"
+        attempts_at_failing_server >= 30,
+        "its share of the keys: {attempts_at_failing_server} of about 50"
     );
 }
 
 #[test]
 fn a_server_that_fails_each_request_at_once_is_ejected() {
     // Incident i0f0c3e: fast errors made a server look idle, and it got ever more requests.
-    let mut router = Router::new(settings(), 4);
-    let victim = sent_to(&router.request(read(1, 9))).unwrap();
+    let mut router = TestRouter::new(settings(), 4);
+    let failing_server = sent_to(&router.send_request(read(1, 9))).unwrap();
     for id in 1..=8 {
         let status = if id % 4 == 0 {
             AttemptStatus::Served
         } else {
             AttemptStatus::Error
         };
-        router.outcome(id, 0, victim, status);
-        router.request(read(id + 1, 9));
+        router.complete_attempt(id, 0, failing_server, status);
+        router.send_request(read(id + 1, 9));
     }
     assert!(
         router
@@ -167,19 +174,24 @@
 
 #[test]
 fn a_server_whose_connection_comes_up_late_is_readmitted() {
-    let mut router = Router::new(settings(), 3);
-    let first = sent_to(&router.request(read(1, 9))).unwrap();
-    let second = sent_to(&router.outcome(1, 0, first, AttemptStatus::ConnectFailed)).unwrap();
-    router.outcome(1, 1, second, AttemptStatus::Served);
-    assert_ne!(sent_to(&router.request(read(2, 9))), Some(first), "ejected");
-    router.event(Event::HealthChecked {
+    let mut router = TestRouter::new(settings(), 3);
+    let first = sent_to(&router.send_request(read(1, 9))).unwrap();
+    let second =
+        sent_to(&router.complete_attempt(1, 0, first, AttemptStatus::ConnectFailed)).unwrap();
+    router.complete_attempt(1, 1, second, AttemptStatus::Served);
+    assert_ne!(
+        sent_to(&router.send_request(read(2, 9))),
+        Some(first),
+        "ejected"
+    );
+    router.handle_event(Event::HealthChecked {
         server: first,
         healthy: true,
         elapsed: 200 * MS,
         load: LoadReport::default(),
     });
     assert_eq!(
-        sent_to(&router.request(read(3, 9))),
+        sent_to(&router.send_request(read(3, 9))),
         Some(first),
         "and readmitted"
     );
@@ -191,7 +203,7 @@
     // and again. Three refused connections ejected a server, for less time than passes between two attempts
     // there.
     let attempts_there = |routers: u32| {
-        let mut router = Router::new(
+        let mut router = TestRouter::new(
             Settings {
                 balancer_count: routers,
                 ..settings()
@@ -201,7 +213,7 @@
         let mut attempts_there = 0;
         for id in 1..=200 {
             router.advance(100 * MS);
-            let mut next = sent_to(&router.request(read(id, id)));
+            let mut next = sent_to(&router.send_request(read(id, id)));
             for attempt in 0.. {
                 let Some(to) = next else { break };
                 let status = if to == 1 {
@@ -210,7 +222,7 @@
                     AttemptStatus::Served
                 };
                 attempts_there += usize::from(to == 1);
-                next = sent_to(&router.outcome(id, attempt, to, status));
+                next = sent_to(&router.complete_attempt(id, attempt, to, status));
             }
         }
         attempts_there
@@ -229,19 +241,21 @@
 
 #[test]
 fn a_server_that_refused_one_connection_is_not_presumed_restarted() {
-    let mut router = Router::new(settings(), 4);
-    let victim = sent_to(&router.request(read(1, 9))).unwrap();
-    let next = sent_to(&router.outcome(1, 0, victim, AttemptStatus::ConnectFailed)).unwrap();
-    router.outcome(1, 1, next, AttemptStatus::Served);
+    let mut router = TestRouter::new(settings(), 4);
+    let failing_server = sent_to(&router.send_request(read(1, 9))).unwrap();
+    let next =
+        sent_to(&router.complete_attempt(1, 0, failing_server, AttemptStatus::ConnectFailed))
+            .unwrap();
+    router.complete_attempt(1, 1, next, AttemptStatus::Served);
     router.advance(10 * SECOND);
-    let mut at_victim = 0;
+    let mut attempts_at_failing_server = 0;
     for id in 10..210 {
-        let to = sent_to(&router.request(read(id, id))).unwrap();
-        at_victim += usize::from(to == victim);
-        router.outcome(id, 0, to, AttemptStatus::Served);
+        let to = sent_to(&router.send_request(read(id, id))).unwrap();
+        attempts_at_failing_server += usize::from(to == failing_server);
+        router.complete_attempt(id, 0, to, AttemptStatus::Served);
     }
     assert!(
-        at_victim >= 30,
-        "its share of the keys: {at_victim} of about 50"
+        attempts_at_failing_server >= 30,
+        "its share of the keys: {attempts_at_failing_server} of about 50"
     );
 }
--- a/crates/routing-policy/tests/properties.rs
+++ b/crates/routing-policy/tests/properties.rs
@@ -292,17 +292,17 @@
 
     fn check_idempotency(&self, pending: &PendingRequest, server: ServerId) {
         let endpoint = &self.endpoints[&server];
-        let mut possibly_executed = pending.attempts.iter().filter(|a| a.may_have_run);
+        let mut possible_executions = pending.attempts.iter().filter(|a| a.may_have_run);
         match self.settings.classes[pending.class].idempotency {
             Idempotency::Idempotent => {}
             Idempotency::NotIdempotent => {
                 assert!(
-                    possibly_executed.next().is_none(),
+                    possible_executions.next().is_none(),
                     "a request that is not idempotent sent twice"
                 )
             }
             Idempotency::Deduplicated { scope, window } => {
-                for attempt in possibly_executed {
+                for attempt in possible_executions {
                     let first = &self.endpoints[&attempt.server];
                     let is_in_scope = match scope {
                         DeduplicationScope::All => true,
--- a/crates/routing-policy/tests/requests.rs
+++ b/crates/routing-policy/tests/requests.rs
@@ -13,42 +13,42 @@
 
 #[test]
 fn every_request_is_answered_before_its_deadline_when_no_server_answers() {
-    let mut router = Router::new(settings(), 3);
-    router.request(read(1, 9));
-    router.request(Request {
+    let mut router = TestRouter::new(settings(), 3);
+    router.send_request(read(1, 9));
+    router.send_request(Request {
         remaining_deadline: SECOND,
         ..write(2, 2)
     });
     let after = router.advance(1500 * MS);
-    assert!(rejected(&after, 1), "idempotent: may be rejected");
+    assert!(is_rejected(&after, 1), "idempotent: may be rejected");
     assert!(
-        failed(&after, 2),
+        is_failed(&after, 2),
         "may have run: must be reported as failed"
     );
 }
 
 #[test]
 fn a_timeout_at_the_deadline_is_answered_at_once() {
-    let mut router = Router::new(settings(), 3);
-    router.request(Request {
+    let mut router = TestRouter::new(settings(), 3);
+    router.send_request(Request {
         remaining_deadline: 300 * MS,
         ..write(1, 2)
     });
     router.now += 300 * MS;
-    assert!(failed(
-        &router.outcome(1, 0, ORIGIN, AttemptStatus::TimedOut),
+    assert!(is_failed(
+        &router.complete_attempt(1, 0, ORIGIN, AttemptStatus::TimedOut),
         1
     ));
 }
 
 #[test]
 fn a_deadline_shorter_than_a_tick_is_rejected_at_once() {
-    let mut router = Router::new(settings(), 3);
-    let answer = router.request(Request {
+    let mut router = TestRouter::new(settings(), 3);
+    let answer = router.send_request(Request {
         remaining_deadline: MS,
         ..read(1, 9)
     });
-    assert!(rejected(&answer, 1) && sends(&answer) == 0);
+    assert!(is_rejected(&answer, 1) && count_sends(&answer) == 0);
 }
 
 #[test]
@@ -58,12 +58,12 @@
     let mut config = settings();
     (config.tenants, config.balancer_count) = (vec![Tenant { quota_per_s: 100.0 }], 4);
     config.may_message_peers = true;
-    let mut router = Router::new(config, 20);
-    router.event(Event::PeerMessage {
+    let mut router = TestRouter::new(config, 20);
+    router.handle_event(Event::PeerMessage {
         from: 1,
         bytes: vec![0xff; 300],
     });
-    assert!(sent_to(&router.request(read(1, 9))).is_some());
+    assert!(sent_to(&router.send_request(read(1, 9))).is_some());
     router.advance(30 * SECOND);
     assert!(
         !router
@@ -84,9 +84,9 @@
             ..settings()
         };
         config.tenants = vec![Tenant { quota_per_s: 1.0 }];
-        let mut router = Router::just_started(config, 20);
+        let mut router = TestRouter::just_started(config, 20);
         (1..=40).for_each(|id| {
-            router.request(read(id, id));
+            router.send_request(read(id, id));
         });
         let retry_after_of = |a: &Action| match a {
             Action::Reject { retry_after, .. } => Some(*retry_after),
@@ -112,7 +112,7 @@
 #[test]
 fn a_read_ends_at_its_objective_unless_its_fetch_is_in_flight() {
     // In full-size runs, a fifth of all answers were late, and made the following ones late too.
-    let mut router = Router::new(
+    let mut router = TestRouter::new(
         Settings {
             may_cancel: true,
             may_hedge: false,
@@ -120,10 +120,10 @@
         },
         3,
     );
-    router.request(read(1, 9));
+    router.send_request(read(1, 9));
     let at_objective = router.advance(760 * MS);
     assert!(
-        rejected(&at_objective, 1)
+        is_rejected(&at_objective, 1)
             && at_objective.contains(&Action::Cancel {
                 request: 1,
                 attempt: 0
@@ -131,7 +131,7 @@
     );
     // A fetch that was cancelled at the objective was never stored, so the origin's work was wasted: the score
     // of rough-2 fell by a quarter.
-    let mut router = Router::new(
+    let mut router = TestRouter::new(
         Settings {
             may_cancel: true,
             may_hedge: false,
@@ -139,20 +139,20 @@
         },
         3,
     );
-    let first = sent_to(&router.request(read(2, 9))).unwrap();
+    let first = sent_to(&router.send_request(read(2, 9))).unwrap();
     assert_eq!(
-        sent_to(&router.outcome(2, 0, first, AttemptStatus::Miss)),
+        sent_to(&router.complete_attempt(2, 0, first, AttemptStatus::Miss)),
         Some(ORIGIN)
     );
     let at_objective = router.advance(760 * MS);
     assert!(
-        !rejected(&at_objective, 2)
+        !is_rejected(&at_objective, 2)
             && !at_objective
                 .iter()
                 .any(|a| matches!(a, Action::Cancel { .. }))
     );
     assert!(
-        rejected(&router.advance(SECOND), 2),
+        is_rejected(&router.advance(SECOND), 2),
         "but not beyond the client's deadline"
     );
 }
@@ -165,17 +165,17 @@
         ..settings()
     };
     config.classes[0].latency_objective = 0;
-    let mut router = Router::just_started(config, 2);
-    let answer = router.request(read(1, 9));
-    assert!(rejected(&answer, 1) || sends(&answer) == 1);
+    let mut router = TestRouter::just_started(config, 2);
+    let answer = router.send_request(read(1, 9));
+    assert!(is_rejected(&answer, 1) || count_sends(&answer) == 1);
     assert!(router.advance(2 * SECOND).len() < 200);
 }
 
 #[test]
 fn events_for_ended_requests_and_repeated_or_unknown_outcomes_have_no_effect() {
-    let mut router = Router::new(settings(), 3);
-    let to = sent_to(&router.request(read(1, 9))).unwrap();
-    router.outcome(1, 0, to, AttemptStatus::Served);
+    let mut router = TestRouter::new(settings(), 3);
+    let to = sent_to(&router.send_request(read(1, 9))).unwrap();
+    router.complete_attempt(1, 0, to, AttemptStatus::Served);
     for status in [
         AttemptStatus::Served,
         AttemptStatus::Miss,
@@ -183,26 +183,26 @@
         AttemptStatus::TimedOut,
         AttemptStatus::Cancelled,
     ] {
-        let answer = router.outcome(1, 0, to, status);
+        let answer = router.complete_attempt(1, 0, to, status);
         assert!(
-            sends(&answer) == 0 && !rejected(&answer, 1) && !failed(&answer, 1),
+            count_sends(&answer) == 0 && !is_rejected(&answer, 1) && !is_failed(&answer, 1),
             "repeated: {status:?}"
         );
-        let answer = router.outcome(77, 3, 4242, status);
+        let answer = router.complete_attempt(77, 3, 4242, status);
         assert!(
-            sends(&answer) == 0 && !rejected(&answer, 77),
+            count_sends(&answer) == 0 && !is_rejected(&answer, 77),
             "never sent: {status:?}"
         );
     }
-    assert!(sends(&router.event(Event::ClientGone(1))) == 0);
-    router.request(read(2, 9));
-    router.event(Event::ClientGone(2));
-    let late = router.outcome(2, 0, to, AttemptStatus::Miss);
+    assert!(count_sends(&router.handle_event(Event::ClientGone(1))) == 0);
+    router.send_request(read(2, 9));
+    router.handle_event(Event::ClientGone(2));
+    let late = router.complete_attempt(2, 0, to, AttemptStatus::Miss);
     assert!(
-        sends(&late) == 0 && !rejected(&late, 2),
+        count_sends(&late) == 0 && !is_rejected(&late, 2),
         "its client has left: no fetch and no answer"
     );
-    assert!(sends(&router.advance(3 * SECOND)) == 0);
+    assert!(count_sends(&router.advance(3 * SECOND)) == 0);
 }
 
 #[test]
@@ -221,7 +221,7 @@
         connection_cost: f64::NAN,
         ..settings()
     };
-    let mut router = Router::new(config, 2);
+    let mut router = TestRouter::new(config, 2);
     let weights = [f32::NAN, f32::INFINITY, -1.0];
     let endpoint = |(id, weight)| Endpoint {
         weight,
@@ -230,21 +230,21 @@
     };
     let mut endpoints: Vec<_> = (1..).zip(weights).map(endpoint).collect();
     endpoints.push(origin());
-    router.list(ListUpdate::Full, endpoints);
+    router.update_endpoints(ListUpdate::Full, endpoints);
     for id in 1..=30 {
-        let answer = router.request(Request {
+        let answer = router.send_request(Request {
             tenant: id as usize % 2,
             value_size: f32::NAN,
             ..read(id, id)
         });
         assert!(
-            sends(&answer) == 1 || rejected(&answer, id),
+            count_sends(&answer) == 1 || is_rejected(&answer, id),
             "sent or rejected"
         );
     }
     let after = router.advance(2 * SECOND);
     assert!(
-        (1..=30).all(|id| rejected(&router.actions, id)),
+        (1..=30).all(|id| is_rejected(&router.actions, id)),
         "each is answered: {}",
         after.len()
     );
@@ -252,22 +252,22 @@
 
 #[test]
 fn requests_are_rejected_without_servers_and_sent_when_servers_return() {
-    let mut router = Router::new(settings(), 2);
-    router.list(ListUpdate::Full, Vec::new());
-    assert!(rejected(&router.request(read(1, 9)), 1));
-    router.request(write(2, 1));
+    let mut router = TestRouter::new(settings(), 2);
+    router.update_endpoints(ListUpdate::Full, Vec::new());
+    assert!(is_rejected(&router.send_request(read(1, 9)), 1));
+    router.send_request(write(2, 1));
     assert!(
-        rejected(&router.advance(SECOND), 2),
+        is_rejected(&router.advance(SECOND), 2),
         "no origin: deferred, then rejected"
     );
-    router.list(ListUpdate::Full, vec![server(1), origin()]);
-    assert_eq!(sent_to(&router.request(read(3, 9))), Some(1));
+    router.update_endpoints(ListUpdate::Full, vec![server(1), origin()]);
+    assert_eq!(sent_to(&router.send_request(read(3, 9))), Some(1));
 }
 
 #[test]
 fn an_idle_router_sets_few_timers() {
-    let mut router = Router::new(settings(), 3);
-    router.request(read(1, 9));
+    let mut router = TestRouter::new(settings(), 3);
+    router.send_request(read(1, 9));
     router.actions.clear();
     router.advance(60 * SECOND);
     assert!(
@@ -279,7 +279,7 @@
 
 #[test]
 fn a_client_that_leaves_frees_the_place_of_its_deferred_call() {
-    let mut router = Router::new(
+    let mut router = TestRouter::new(
         Settings {
             balancer_count: 100,
             ..settings()
@@ -287,7 +287,7 @@
         3,
     );
     for id in 1..=40 {
-        router.request(write(id, 1));
+        router.send_request(write(id, 1));
     }
     let was_sent = |actions: &[Action], id: RequestId| {
         actions
@@ -300,14 +300,14 @@
     assert!(!deferred.is_empty(), "some wait for the origin");
     let before = router.actions.len();
     for id in &deferred {
-        router.event(Event::ClientGone(*id));
+        router.handle_event(Event::ClientGone(*id));
     }
     for id in (1..=40).filter(|id| !deferred.contains(id)) {
-        router.outcome(id, 0, ORIGIN, AttemptStatus::Served);
+        router.complete_attempt(id, 0, ORIGIN, AttemptStatus::Served);
     }
     router.advance(5 * SECOND);
     assert_eq!(
-        sends(&router.actions[before..]),
+        count_sends(&router.actions[before..]),
         0,
         "none of those that left is sent"
     );
@@ -322,19 +322,19 @@
         AttemptStatus::Miss,
         AttemptStatus::Reset,
     ] {
-        let mut router = Router::new(settings(), 3);
-        let to = sent_to(&router.request(read(1, 7))).unwrap();
-        router.event(Event::ClientGone(1));
-        let mut after = router.outcome(1, 0, to, status);
+        let mut router = TestRouter::new(settings(), 3);
+        let to = sent_to(&router.send_request(read(1, 7))).unwrap();
+        router.handle_event(Event::ClientGone(1));
+        let mut after = router.complete_attempt(1, 0, to, status);
         after.extend(router.advance(5 * SECOND));
-        assert_eq!(sends(&after), 0, "{status:?}");
+        assert_eq!(count_sends(&after), 0, "{status:?}");
     }
 }
 
 #[test]
 fn a_request_is_not_hedged_or_fetched_after_its_client_has_left() {
     for hedge_in_flight in [false, true] {
-        let mut router = Router::new(
+        let mut router = TestRouter::new(
             Settings {
                 balancer_count: 100,
                 may_hedge: true,
@@ -342,15 +342,19 @@
             },
             20,
         );
-        let first = sent_to(&router.request(read(1, 7))).unwrap();
+        let first = sent_to(&router.send_request(read(1, 7))).unwrap();
         if hedge_in_flight {
-            assert_eq!(sends(&router.advance(350 * MS)), 1, "a hedged request");
+            assert_eq!(
+                count_sends(&router.advance(350 * MS)),
+                1,
+                "a hedged request"
+            );
         }
-        let mut after = router.event(Event::ClientGone(1));
+        let mut after = router.handle_event(Event::ClientGone(1));
         after.extend(router.advance(5 * SECOND));
-        assert_eq!(sends(&after), 0, "hedge in flight: {hedge_in_flight}");
-        let mut after = router.outcome(1, 0, first, AttemptStatus::Miss);
+        assert_eq!(count_sends(&after), 0, "hedge in flight: {hedge_in_flight}");
+        let mut after = router.complete_attempt(1, 0, first, AttemptStatus::Miss);
         after.extend(router.advance(5 * SECOND));
-        assert_eq!(sends(&after), 0, "hedge in flight: {hedge_in_flight}");
+        assert_eq!(count_sends(&after), 0, "hedge in flight: {hedge_in_flight}");
     }
 }
--- a/crates/routing-policy/tests/selection.rs
+++ b/crates/routing-policy/tests/selection.rs
@@ -50,11 +50,11 @@
 
 #[test]
 fn a_server_over_the_load_bound_is_skipped_for_the_next_in_the_order() {
-    let mut router = Router::new(settings(), 4);
-    let first = sent_to(&router.request(read(1, 9))).unwrap();
+    let mut router = TestRouter::new(settings(), 4);
+    let first = sent_to(&router.send_request(read(1, 9))).unwrap();
     let mut chosen = vec![first];
     for id in 2..=12 {
-        chosen.push(sent_to(&router.request(read(id, 9))).unwrap());
+        chosen.push(sent_to(&router.send_request(read(id, 9))).unwrap());
     }
     assert_eq!(
         &chosen[..4],
@@ -71,7 +71,7 @@
     // Incidents ia996fa (the origin had capacity while a few servers had queues) and iaa6bb1 (the limiter was
     // at capacity).
     let sent_to_first = |at_capacity: bool| {
-        let mut router = Router::new(
+        let mut router = TestRouter::new(
             Settings {
                 balancer_count: 8,
                 ..settings()
@@ -79,12 +79,12 @@
             4,
         );
         for id in (1..=30).filter(|_| at_capacity) {
-            router.request(write(id, 1));
+            router.send_request(write(id, 1));
         }
         router.advance(20 * MS);
-        let first = sent_to(&router.request(read(101, 9))).unwrap();
+        let first = sent_to(&router.send_request(read(101, 9))).unwrap();
         (102..=106)
-            .take_while(|id| sent_to(&router.request(read(*id, 9))) == Some(first))
+            .take_while(|id| sent_to(&router.send_request(read(*id, 9))) == Some(first))
             .count()
     };
     assert_eq!(
@@ -98,19 +98,19 @@
 #[test]
 fn a_request_for_a_full_server_is_rejected_while_load_is_shed_and_sent_otherwise() {
     // Incident i53252a: a bound relative to the mean let all queues grow together.
-    let mut router = Router::just_started(settings(), 2);
+    let mut router = TestRouter::just_started(settings(), 2);
     let mut sent = 0;
     for id in 1..=40 {
-        sent += sends(&router.request(read(id, id)));
+        sent += count_sends(&router.send_request(read(id, id)));
     }
     assert!(
         sent < 12,
         "{sent} requests in flight at two servers that have answered nothing"
     );
-    assert!(rejected(&router.actions, 40));
-    let mut idle_router = Router::new(settings(), 2);
+    assert!(is_rejected(&router.actions, 40));
+    let mut idle_router = TestRouter::new(settings(), 2);
     let sent = (1..=10)
-        .map(|id| sends(&idle_router.request(read(id, id))))
+        .map(|id| count_sends(&idle_router.send_request(read(id, id))))
         .sum::<usize>();
     assert_eq!(sent, 10, "a burst at an idle fleet is served");
 }
@@ -119,21 +119,21 @@
 fn a_few_requests_in_flight_at_fast_servers_with_few_answers_are_no_backlog() {
     // Case r8880: servers that answer within a third of the objective counted as full with three attempts in
     // flight.
-    let mut router = Router::just_started(settings(), 2);
+    let mut router = TestRouter::just_started(settings(), 2);
     for id in 1..=4 {
-        let to = sent_to(&router.request(read(id, id))).unwrap();
+        let to = sent_to(&router.send_request(read(id, id))).unwrap();
         router.advance(60 * MS);
-        router.outcome(id, 0, to, AttemptStatus::Served);
+        router.complete_attempt(id, 0, to, AttemptStatus::Served);
     }
     let sent = (11..=20)
-        .map(|id| sends(&router.request(read(id, id))))
+        .map(|id| count_sends(&router.send_request(read(id, id))))
         .sum::<usize>();
     assert_eq!(
         sent, 10,
         "five at each, of the twelve that one core answers within the objective"
     );
     let more = (21..=200)
-        .map(|id| sends(&router.request(read(id, id))))
+        .map(|id| count_sends(&router.send_request(read(id, id))))
         .sum::<usize>();
     assert!(
         more < 60,
@@ -145,44 +145,47 @@
 fn a_full_server_does_not_spill_its_keys_to_servers_further_down_the_order() {
     // Incident ia996fa: requests for full servers went to servers without their values. The caches lost their
     // values, and fetches were two fifths of all attempts.
-    let mut router = Router::just_started(settings(), 12);
+    let mut router = TestRouter::just_started(settings(), 12);
     let mut used = std::collections::BTreeSet::new();
     for id in 1..=60 {
-        used.extend(sent_to(&router.request(read(id, 9))));
+        used.extend(sent_to(&router.send_request(read(id, 9))));
     }
     assert!(used.len() <= 4, "one key at {} of 12 servers", used.len());
-    assert!(rejected(&router.actions, 60));
+    assert!(is_rejected(&router.actions, 60));
 }
 
 #[test]
 fn a_request_with_little_time_goes_to_a_server_that_answers_in_time_or_is_rejected() {
     // Case r7044: requests were sent to servers whose network delay was longer than the client's remaining
     // time.
-    let mut router = Router::new(settings(), 2);
-    let near = keys_at(&mut router, 1000, 1, MS);
+    let mut router = TestRouter::new(settings(), 2);
+    let near = keys_sent_to(&mut router, 1000, 1, MS);
     let far = (1..=200).find(|key| !near.contains(key)).unwrap();
-    // The fastest time of a server follows slower answers slowly.
+    // The minimum answer time of a server follows slower answers slowly.
     for id in 1..=200 {
-        router.request(read(id, far));
+        router.send_request(read(id, far));
         router.advance(60 * MS);
-        router.outcome(id, 0, 2, AttemptStatus::Served);
+        router.complete_attempt(id, 0, 2, AttemptStatus::Served);
     }
     let within = |id, time| Request {
         remaining_deadline: time,
         ..read(id, far)
     };
     assert_eq!(
-        sent_to(&router.request(within(301, 100 * MS))),
+        sent_to(&router.send_request(within(301, 100 * MS))),
         Some(2),
         "there is time for its first server"
     );
     assert_eq!(
-        sent_to(&router.request(within(302, 40 * MS))),
+        sent_to(&router.send_request(within(302, 40 * MS))),
         Some(1),
         "only the near one is in time"
     );
-    let actions = router.request(within(303, 2 * settings().tick + MS / 2));
-    assert!(sends(&actions) == 0 && rejected(&actions, 303), "none is");
+    let actions = router.send_request(within(303, 2 * settings().tick + MS / 2));
+    assert!(
+        count_sends(&actions) == 0 && is_rejected(&actions, 303),
+        "none is"
+    );
 }
 
 #[test]
@@ -194,18 +197,18 @@
         may_hedge: false,
         ..settings()
     };
-    let mut router = Router::new(config, 3);
-    let first = sent_to(&router.request(read(1, 9))).unwrap();
+    let mut router = TestRouter::new(config, 3);
+    let first = sent_to(&router.send_request(read(1, 9))).unwrap();
     router.advance(200 * MS);
-    router.outcome(1, 0, first, AttemptStatus::Served); // 0.2 s for one request without a queue
-    router.list(
+    router.complete_attempt(1, 0, first, AttemptStatus::Served); // 0.2 s for one request without a queue
+    router.update_endpoints(
         ListUpdate::Delta,
         vec![Endpoint {
             weight: 0.1,
             ..server(first)
         }],
     );
-    let next = sent_to(&router.request(read(2, 9))).expect("another has capacity");
+    let next = sent_to(&router.send_request(read(2, 9))).expect("another has capacity");
     assert_ne!(next, first, "nine requests per core wait there");
     let all = (1..=3)
         .map(|id| Endpoint {
@@ -213,6 +216,9 @@
             ..server(id)
         })
         .collect();
-    router.list(ListUpdate::Delta, all);
-    assert!(rejected(&router.request(read(3, 9)), 3), "all are full");
+    router.update_endpoints(ListUpdate::Delta, all);
+    assert!(
+        is_rejected(&router.send_request(read(3, 9)), 3),
+        "all are full"
+    );
 }
--- a/crates/routing-policy/tests/slow_start.rs
+++ b/crates/routing-policy/tests/slow_start.rs
@@ -15,8 +15,8 @@
 fn requests_rejected_by_warm_servers_are_not_retried_at_a_server_in_slow_start() {
     // Scenario join+mass: a starting server collapsed after 46 attempts in 2 s, of which 25 had first been
     // rejected by other servers.
-    let mut router = Router::new(settings(), 3);
-    router.list(
+    let mut router = TestRouter::new(settings(), 3);
+    router.update_endpoints(
         ListUpdate::Delta,
         vec![Endpoint {
             started: router.now,
@@ -25,7 +25,7 @@
     );
     let (mut first_attempts, mut retries) = (0, 0);
     for id in 1..=300 {
-        let (mut answer, mut attempt) = (router.request(read(id, id)), 0);
+        let (mut answer, mut attempt) = (router.send_request(read(id, id)), 0);
         while let Some(server) = sent_to(&answer) {
             let count = if attempt == 0 {
                 &mut first_attempts
@@ -38,7 +38,7 @@
             } else {
                 AttemptStatus::Rejected
             };
-            answer = router.outcome(id, attempt, server, status);
+            answer = router.complete_attempt(id, attempt, server, status);
             attempt += 1;
         }
         router.advance(10 * MS);
@@ -54,7 +54,7 @@
     // Scenario join+mass: with 1.8 tries per request, starting servers were sent up to four times what they can
     // take.
     let sent_to_starting = |client_retries: u64| {
-        let mut router = Router::just_started(settings(), 3);
+        let mut router = TestRouter::just_started(settings(), 3);
         let mut at_starting = 0;
         for step in 1..=300u64 {
             for request_number in 0..3 + client_retries {
@@ -67,7 +67,7 @@
                 // The warm servers are full, so their key shares are cut, and these requests reach the starting
                 // one.
                 let (mut answer, mut attempt) = (
-                    router.request(Request {
+                    router.send_request(Request {
                         remaining_deadline: time_left,
                         ..read(id, id)
                     }),
@@ -80,13 +80,13 @@
                     } else {
                         AttemptStatus::Rejected
                     };
-                    answer = router.outcome(id, attempt, server, status);
+                    answer = router.complete_attempt(id, attempt, server, status);
                     attempt += 1;
                 }
             }
             router.advance(10 * MS);
             if step == 150 {
-                router.list(
+                router.update_endpoints(
                     ListUpdate::Delta,
                     vec![Endpoint {
                         kind: 2,
@@ -108,9 +108,9 @@
 #[test]
 fn a_server_in_slow_start_gets_a_growing_share_of_its_keys() {
     let share_at = |age: Micros| {
-        let mut router = Router::new(settings(), 4);
+        let mut router = TestRouter::new(settings(), 4);
         let started = router.now;
-        router.list(
+        router.update_endpoints(
             ListUpdate::Delta,
             vec![Endpoint {
                 started,
@@ -121,9 +121,9 @@
         let mut at_starting = 0;
         for id in 1..=2000 {
             router.now += 20 * MS / 100;
-            let to = sent_to(&router.request(read(id, id))).unwrap();
+            let to = sent_to(&router.send_request(read(id, id))).unwrap();
             at_starting += usize::from(to == 2);
-            router.outcome(id, 0, to, AttemptStatus::Served);
+            router.complete_attempt(id, 0, to, AttemptStatus::Served);
         }
         at_starting as f64 / 500.0
     };
@@ -148,11 +148,11 @@
             tenants,
             ..settings()
         };
-        let mut router = Router::new(config, 4);
-        let send_read = |router: &mut Router, id, key| {
+        let mut router = TestRouter::new(config, 4);
+        let send_read = |router: &mut TestRouter, id, key| {
             router.advance(20 * MS);
-            let to = sent_to(&router.request(read(id, key)));
-            router.outcome(id, 0, to.unwrap(), AttemptStatus::Served);
+            let to = sent_to(&router.send_request(read(id, key)));
+            router.complete_attempt(id, 0, to.unwrap(), AttemptStatus::Served);
             to
         };
         let key = (1..)
@@ -161,7 +161,7 @@
         for id in 5000..5100 {
             send_read(&mut router, id, if is_hot { key } else { id });
         }
-        router.list(
+        router.update_endpoints(
             ListUpdate::Delta,
             vec![Endpoint {
                 started: router.now,
@@ -193,9 +193,9 @@
     };
     let at_starting = |key: Key| {
         let router = |seed: u64| {
-            let mut router = Router::seeded(config.clone(), 20, seed);
+            let mut router = TestRouter::seeded(config.clone(), 20, seed);
             router.advance(10 * SECOND);
-            router.list(
+            router.update_endpoints(
                 ListUpdate::Delta,
                 vec![Endpoint {
                     started: router.now,
@@ -203,7 +203,7 @@
                 }],
             );
             router.advance(seed * 20 * MS);
-            sent_to(&router.request(read(1, key))) == Some(2)
+            sent_to(&router.send_request(read(1, key))) == Some(2)
         };
         (1..=100).filter(|seed| router(*seed)).count()
     };
@@ -229,17 +229,17 @@
     };
     let (mut strong, mut weak) = (0, 0);
     for seed in 1..=30u64 {
-        let mut router = Router::seeded(config.clone(), 0, seed);
+        let mut router = TestRouter::seeded(config.clone(), 0, seed);
         let endpoint = |id| Endpoint {
             kind: 2 + (id % 2) as u16,
             ..server(id)
         };
-        router.list(
+        router.update_endpoints(
             ListUpdate::Full,
             (1..=20).map(endpoint).chain([origin()]).collect(),
         );
-        let send_read = |router: &mut Router, id: u64| {
-            let to = sent_to(&router.request(read(id, seed * 10_000 + id)));
+        let send_read = |router: &mut TestRouter, id: u64| {
+            let to = sent_to(&router.send_request(read(id, seed * 10_000 + id)));
             // One in four attempts at the weak servers is rejected, and the next server answers.
             let is_rejected = to.is_some_and(|to| to % 2 == 1) && id.is_multiple_of(4);
             let mut next = to.zip(Some(if is_rejected {
@@ -249,7 +249,7 @@
             }));
             for attempt in 0.. {
                 let Some((to, status)) = next else { break };
-                next = sent_to(&router.outcome(id, attempt, to, status))
+                next = sent_to(&router.complete_attempt(id, attempt, to, status))
                     .zip(Some(AttemptStatus::Served));
             }
             to
@@ -262,7 +262,7 @@
             started: router.now,
             ..endpoint(id)
         };
-        router.list(ListUpdate::Delta, vec![starting(1), starting(2)]);
+        router.update_endpoints(ListUpdate::Delta, vec![starting(1), starting(2)]);
         for id in 1001..=1500 {
             router.advance(2 * MS); // Twenty-five times the usual rate.
             let to = send_read(&mut router, id);
@@ -295,23 +295,23 @@
             may_hedge: false,
             ..settings()
         };
-        let mut router = Router::seeded(config, 0, seed);
+        let mut router = TestRouter::seeded(config, 0, seed);
         let endpoint = |id| Endpoint {
             kind: 2 + (id % 2) as u16,
             ..server(id)
         };
-        router.list(
+        router.update_endpoints(
             ListUpdate::Full,
             (1..=20).map(endpoint).chain([origin()]).collect(),
         );
-        let send_read = |router: &mut Router, id: u64| {
-            let to = sent_to(&router.request(read(id, seed * 10_000 + id)));
+        let send_read = |router: &mut TestRouter, id: u64| {
+            let to = sent_to(&router.send_request(read(id, seed * 10_000 + id)));
             // Three of four clients of the weak servers leave before the answer, which cuts no key share.
             if to.is_some_and(|to| to % 2 == 1) && !id.is_multiple_of(4) {
-                router.event(Event::ClientGone(id));
-                router.outcome(id, 0, to.unwrap(), AttemptStatus::Cancelled);
+                router.handle_event(Event::ClientGone(id));
+                router.complete_attempt(id, 0, to.unwrap(), AttemptStatus::Cancelled);
             } else if let Some(to) = to {
-                router.outcome(id, 0, to, AttemptStatus::Served);
+                router.complete_attempt(id, 0, to, AttemptStatus::Served);
             }
             to
         };
@@ -323,7 +323,7 @@
             started: router.now,
             ..endpoint(id)
         };
-        router.list(ListUpdate::Delta, vec![starting(1), starting(2)]);
+        router.update_endpoints(ListUpdate::Delta, vec![starting(1), starting(2)]);
         for id in 1001..=1200 {
             router.advance(50 * MS);
             let to = send_read(&mut router, id);
@@ -353,8 +353,8 @@
             tenants,
             ..settings()
         };
-        let mut router = Router::new(config, 20);
-        router.list(
+        let mut router = TestRouter::new(config, 20);
+        router.update_endpoints(
             ListUpdate::Delta,
             vec![Endpoint {
                 started: router.now,
@@ -365,9 +365,9 @@
         let gap = (100.0 / quota_per_s * SECOND as f64 / 3.0) as u64;
         let send_read = |id: &u64| {
             router.advance(gap);
-            let to = sent_to(&router.request(read(*id, *id)));
+            let to = sent_to(&router.send_request(read(*id, *id)));
             to.into_iter()
-                .for_each(|to| drop(router.outcome(*id, 0, to, AttemptStatus::Served)));
+                .for_each(|to| drop(router.complete_attempt(*id, 0, to, AttemptStatus::Served)));
             to == Some(2)
         };
         (1..=12_000).filter(send_read).count()
@@ -394,8 +394,8 @@
             tenants,
             ..settings()
         };
-        let mut router = Router::new(config, 10);
-        router.list(
+        let mut router = TestRouter::new(config, 10);
+        router.update_endpoints(
             ListUpdate::Delta,
             vec![Endpoint {
                 started: router.now,
@@ -404,8 +404,8 @@
         );
         let mut send_read = |id: u64| {
             router.advance(10 * MS);
-            let to = sent_to(&router.request(read(id, id))).unwrap();
-            router.outcome(id, 0, to, AttemptStatus::Served);
+            let to = sent_to(&router.send_request(read(id, id))).unwrap();
+            router.complete_attempt(id, 0, to, AttemptStatus::Served);
             to == 2
         };
         (1..=1000).filter(|id| send_read(*id)).count()
@@ -425,9 +425,9 @@
 
 #[test]
 fn a_start_time_in_the_far_future_is_that_of_a_cold_server() {
-    let mut router = Router::new(settings(), 3);
+    let mut router = TestRouter::new(settings(), 3);
     let started = u64::MAX;
-    router.list(
+    router.update_endpoints(
         ListUpdate::Delta,
         vec![Endpoint {
             started,
@@ -436,7 +436,7 @@
     );
     for id in 1..=30 {
         router.advance(10 * MS);
-        let to = sent_to(&router.request(read(id, id))).unwrap();
-        router.outcome(id, 0, to, AttemptStatus::Served);
+        let to = sent_to(&router.send_request(read(id, id))).unwrap();
+        router.complete_attempt(id, 0, to, AttemptStatus::Served);
     }
 }
--- a/crates/routing-policy/tests/slow_start_fleet.rs
+++ b/crates/routing-policy/tests/slow_start_fleet.rs
@@ -66,7 +66,7 @@
 /// A simulated fleet of routers and servers. Three of the servers start during the run.
 struct Fleet {
     rng: Rng,
-    routers: Vec<Router>,
+    routers: Vec<TestRouter>,
     due_outcomes: BinaryHeap<Reverse<DueOutcome>>,
     /// Whether each router has been notified that the servers started.
     notified: Vec<bool>,
@@ -86,7 +86,7 @@
                 balancer_index: index,
                 ..base_settings.clone()
             };
-            Router::seeded(settings, SERVERS, seed * 1_000 + u64::from(index))
+            TestRouter::seeded(settings, SERVERS, seed * 1_000 + u64::from(index))
         };
         let routers: Vec<_> = (0..router_count).map(router).collect();
         Fleet {
@@ -190,7 +190,7 @@
             balancer_index: router as u32,
             ..Fleet::settings(self.routers.len() as u32)
         };
-        let mut new_router = Router::seeded(settings, SERVERS, self.rng.below(1 << 40));
+        let mut new_router = TestRouter::seeded(settings, SERVERS, self.rng.below(1 << 40));
         new_router.now = now;
         self.routers[router] = new_router;
         let due = std::mem::take(&mut self.due_outcomes).into_iter();
@@ -204,7 +204,7 @@
             started,
             ..server(id)
         });
-        let actions = self.routers[router].list(ListUpdate::Delta, starting.to_vec());
+        let actions = self.routers[router].update_endpoints(ListUpdate::Delta, starting.to_vec());
         self.schedule_outcomes(router, &actions);
     }
 
@@ -226,7 +226,7 @@
                 AttemptStatus::Served
             };
             let router = &mut self.routers[due.router];
-            let actions = router.outcome(due.request, due.attempt, due.server, status);
+            let actions = router.complete_attempt(due.request, due.attempt, due.server, status);
             self.schedule_outcomes(due.router, &actions);
         }
     }
@@ -239,7 +239,7 @@
             self.next_attempt[(id % ID_SLOTS) as usize] = 0;
             let router = self.rng.below(self.routers.len() as u64) as usize;
             let rank = 1 + self.rng.below(1 + self.rng.0 % 400);
-            let actions = self.routers[router].request(read(id, rank * 7_919));
+            let actions = self.routers[router].send_request(read(id, rank * 7_919));
             self.schedule_outcomes(router, &actions);
         }
     }
--- a/crates/routing-policy/tests/unit/selection_reference.rs
+++ b/crates/routing-policy/tests/unit/selection_reference.rs
@@ -19,8 +19,8 @@
             if is_excluded || !self.is_allowed_by_slow_start(key, request, server) {
                 continue;
             }
-            let draw = unit_hash(key, server.endpoint.id, Purpose::Position);
-            let rank = selection.rank(server, draw);
+            let unit_hash = unit_hash(key, server.endpoint.id, HashPurpose::Position);
+            let rank = selection.rank(server, unit_hash);
             if best.is_none_or(|best| rank < best) {
                 best = Some(rank);
             }
@@ -109,10 +109,12 @@
         match draws.below(4) {
             0 => {
                 let until = now + draws.below(SECOND);
-                server.ejection = Some(Ejection { until, time: 1 });
+                server.ejection = Some(Ejection { until, duration: 1 });
             }
             1 => server.in_flight = draws.below(9) as u32,
-            2 => server.fastest.record(draws.below(2 * SECOND) as f64, 1.0),
+            2 => server
+                .min_answer_time
+                .record(draws.below(2 * SECOND) as f64, 1.0),
             _ => server.key_share.cut(0.1, 0.05),
         }
     }
@@ -173,7 +175,7 @@
 
     #[test]
     fn the_position_hash_of_a_key_equals_the_unit_hash_of_each_server(key: Key, server: ServerId) {
-        let draw = unit_interval(PositionHash::new(key).of(server));
-        prop_assert_eq!(draw, unit_hash(key, server, Purpose::Position));
+        let mapped_hash = unit_interval(PositionHash::new(key).hash(server));
+        prop_assert_eq!(mapped_hash, unit_hash(key, server, HashPurpose::Position));
     }
 }
