--- a/crates/cache-router/src/client_connection.rs
+++ b/crates/cache-router/src/client_connection.rs
@@ -26,7 +26,7 @@
 use crate::client_context::ClientContext;
 use crate::idle_connections::IdleGuard;
 use crate::lifecycle::LifecyclePhase;
-use crate::message::{ClientId, ClientReply, DepartureCause};
+use crate::message::{ClientId, ClientReply, DisconnectCause};
 use crate::socket::SocketStream;
 use close::CloseReason;
 use input::{ClientInput, InputMode};
@@ -64,8 +64,16 @@
     let stream = SocketStream::new(stream);
     let mut connection = ClientConnection::new(stream, context, client, uses_reserved_slot);
     match connection.run().await {
-        CloseReason::ClosedByClient => connection.handle_disconnect(DepartureCause::Closed).await,
-        CloseReason::OutputStalled => connection.handle_disconnect(DepartureCause::CutOff).await,
+        CloseReason::ClosedByClient => {
+            connection
+                .handle_disconnect(DisconnectCause::ClosedByClient)
+                .await
+        }
+        CloseReason::OutputStalled => {
+            connection
+                .handle_disconnect(DisconnectCause::ClosedByRouter)
+                .await
+        }
         CloseReason::ClosedByRouter => connection.linger().await,
     }
 }
--- a/crates/cache-router/src/client_connection/close.rs
+++ b/crates/cache-router/src/client_connection/close.rs
@@ -12,7 +12,7 @@
 use super::input::InputMode;
 use super::local_failures::Disconnected;
 use crate::event_loop::in_flight::{BUSY_REPLY, FAILED_REPLY};
-use crate::message::{ClientDeparture, DepartureCause, RouterEvent};
+use crate::message::{ClientDisconnect, DisconnectCause, RouterEvent};
 use crate::socket::SocketStream;
 use crate::socket::errors::{classify, is_not_ready};
 use crate::socket::stream::LOCAL_RETRY_PAUSE;
@@ -104,22 +104,22 @@
 
     /// Ends the connection of a client that has closed it completely or only its sending side. No further attempt is
     /// sent for it. A client that still reads gets its final replies.
-    pub(super) async fn handle_disconnect(&mut self, cause: DepartureCause) {
+    pub(super) async fn handle_disconnect(&mut self, cause: DisconnectCause) {
         self.report_disconnect(cause).await;
         self.send_final_replies().await;
     }
 
     /// Reports the disconnect to the event loop.
-    async fn report_disconnect(&mut self, cause: DepartureCause) {
+    async fn report_disconnect(&mut self, cause: DisconnectCause) {
         // Closed before the event is sent: a task that is about to send an attempt for this client checks the channel,
         // and so sees the disconnect at once, even if other events are queued before this one.
         self.reply_receiver.close();
-        let departure = ClientDeparture {
+        let disconnect = ClientDisconnect {
             client: self.client,
             at: self.context.clock.now(),
             cause,
         };
-        let event = RouterEvent::ClientDisconnected(departure);
+        let event = RouterEvent::ClientDisconnected(disconnect);
         let _ = self.context.events.send(event).await;
     }
 
--- a/crates/cache-router/src/event_loop.rs
+++ b/crates/cache-router/src/event_loop.rs
@@ -26,7 +26,7 @@
 use crate::discovery::{DiscoveryClient, UpdateFreshness};
 use crate::lifecycle::{Lifecycle, LifecyclePhase, ScheduledStep, ShutdownStep};
 use crate::message::{
-    ClientDeparture, ClientRequest, DiscoveryCall, EndpointListUpdate, RouterEvent,
+    ClientDisconnect, ClientRequest, DiscoveryCall, EndpointListUpdate, RouterEvent,
 };
 use crate::trace::{self, Trace};
 
@@ -208,7 +208,7 @@
     pub fn handle_event(&mut self, event: RouterEvent) {
         match event {
             RouterEvent::ClientRequest(request) => self.handle_request(*request),
-            RouterEvent::ClientDisconnected(departure) => self.handle_disconnect(departure),
+            RouterEvent::ClientDisconnected(disconnect) => self.handle_disconnect(disconnect),
             RouterEvent::ServerConnection(connection, event) => {
                 let dispatcher = self.driver.dispatcher_mut();
                 dispatcher.handle_connection_event(connection, event);
@@ -245,12 +245,12 @@
     }
 
     /// Cancels the requests of a client that has disconnected, so that nothing more is sent for them.
-    fn handle_disconnect(&mut self, departure: ClientDeparture) {
+    fn handle_disconnect(&mut self, disconnect: ClientDisconnect) {
         let in_flight = self.driver.dispatcher().in_flight();
-        let word = trace::departure_word(departure.cause);
-        for request in in_flight.incomplete_requests_of(departure.client) {
+        let word = trace::disconnect_word(disconnect.cause);
+        for request in in_flight.incomplete_requests_of(disconnect.client) {
             self.trace
-                .line(departure.at, format_args!("{word} {request}"));
+                .line(disconnect.at, format_args!("{word} {request}"));
             self.driver.dispatcher_mut().cancel_request(request);
             self.driver.run();
         }
--- a/crates/cache-router/src/lifecycle.rs
+++ b/crates/cache-router/src/lifecycle.rs
@@ -12,10 +12,10 @@
 const SHUTDOWN_SLACK: Micros = 550_000;
 /// The platform kills a router no sooner than the longest deadline of a request class after SIGTERM, but it counts that
 /// deadline as at most this many microseconds.
-pub const KILL_LONGEST_DEADLINE: Micros = 3_000_000;
+pub const MAX_KILL_DEADLINE: Micros = 3_000_000;
 /// The platform waits this many microseconds longer before it kills a router. Requests that arrive 0.7 s after SIGTERM
 /// or later must have their reply by then.
-pub const KILL_SLACK: Micros = 700_000;
+pub const KILL_GRACE_PERIOD: Micros = 700_000;
 /// Time reserved for writing the last replies, in microseconds, both before the router exits and before it may be
 /// killed.
 pub const FINAL_WRITE_TIME: Micros = 100_000;
@@ -122,7 +122,7 @@
             return None;
         }
         let end_by = now + self.longest_deadline + SHUTDOWN_SLACK;
-        let killed_at = now + self.longest_deadline.min(KILL_LONGEST_DEADLINE) + KILL_SLACK;
+        let killed_at = now + self.longest_deadline.min(MAX_KILL_DEADLINE) + KILL_GRACE_PERIOD;
         // If the router is suspended, its own end is delayed as well, but the platform's kill is not. Only the latter
         // needs a reserve for a suspension.
         let reply_by =
--- a/crates/cache-router/src/message.rs
+++ b/crates/cache-router/src/message.rs
@@ -18,7 +18,7 @@
     /// A client sent a command.
     ClientRequest(Box<ClientRequest>),
     /// The connection of a client has ended.
-    ClientDisconnected(ClientDeparture),
+    ClientDisconnected(ClientDisconnect),
     /// The state of a connection to a server changed.
     ServerConnection(ConnectionId, ServerConnectionEvent),
     /// A call to discovery returned the endpoint list or a change of it.
@@ -50,22 +50,22 @@
 
 /// The end of a client's connection. All outstanding replies to the client are void.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ClientDeparture {
+pub struct ClientDisconnect {
     /// The client.
     pub client: ClientId,
     /// When the close of the connection was read or the client was cut off, on the router's clock.
     pub at: Micros,
     /// Who ended the connection.
-    pub cause: DepartureCause,
+    pub cause: DisconnectCause,
 }
 
 /// Who ended the connection of a client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DepartureCause {
+pub enum DisconnectCause {
     /// The client closed it, or the network failed.
-    Closed,
+    ClosedByClient,
     /// The router closed it because the client read none of its replies.
-    CutOff,
+    ClosedByRouter,
 }
 
 /// A parsed command of a client.
--- a/crates/cache-router/src/socket/listen.rs
+++ b/crates/cache-router/src/socket/listen.rs
@@ -13,7 +13,7 @@
 struct OpenRow {
     errno: i32,
     /// Whether the call may succeed later.
-    may_pass: bool,
+    is_transient: bool,
     /// What an operator can do about the error.
     remedy: &'static str,
 }
@@ -21,7 +21,7 @@
 const fn transient(errno: i32, remedy: &'static str) -> OpenRow {
     OpenRow {
         errno,
-        may_pass: true,
+        is_transient: true,
         remedy,
     }
 }
@@ -29,7 +29,7 @@
 const fn permanent(errno: i32, remedy: &'static str) -> OpenRow {
     OpenRow {
         errno,
-        may_pass: false,
+        is_transient: false,
         remedy,
     }
 }
@@ -71,8 +71,8 @@
 const UNLISTED_REMEDY: &str = "check `listen` and the limits of the process";
 
 /// Whether opening a listening socket may succeed later, after it has failed with this error.
-pub fn may_pass(error: &io::Error) -> bool {
-    open_row(error).is_none_or(|row| row.may_pass)
+pub fn is_transient(error: &io::Error) -> bool {
+    open_row(error).is_none_or(|row| row.is_transient)
 }
 
 /// What an operator can do about a socket that cannot be opened for listening.
--- a/crates/cache-router/src/startup/error.rs
+++ b/crates/cache-router/src/startup/error.rs
@@ -48,8 +48,8 @@
                 matches!(error, router_config::ConfigError::Unreadable { .. })
             }
             StartError::Config(error) => error.is_transient(),
-            StartError::Signals(error) | StartError::Runtime(error) => listen::may_pass(error),
-            StartError::Listen { source, .. } => listen::may_pass(source),
+            StartError::Signals(error) | StartError::Runtime(error) => listen::is_transient(error),
+            StartError::Listen { source, .. } => listen::is_transient(source),
             StartError::Logging(_) | StartError::ShutDown => false,
         }
     }
--- a/crates/cache-router/src/trace.rs
+++ b/crates/cache-router/src/trace.rs
@@ -7,7 +7,7 @@
 use router_config::logging;
 use routing_policy::{AttemptStatus, CacheLookup, EndpointState, ListUpdate, Micros};
 
-use crate::message::DepartureCause;
+use crate::message::DisconnectCause;
 
 /// The writer of trace lines.
 #[derive(Clone, Copy)]
@@ -78,9 +78,9 @@
 }
 
 /// Returns the word for the disconnect of a client that has requests without a reply.
-pub fn departure_word(cause: DepartureCause) -> &'static str {
+pub fn disconnect_word(cause: DisconnectCause) -> &'static str {
     match cause {
-        DepartureCause::Closed => "departed",
-        DepartureCause::CutOff => "dropped",
+        DisconnectCause::ClosedByClient => "departed",
+        DisconnectCause::ClosedByRouter => "dropped",
     }
 }
--- a/crates/cache-router/tests/event_loop/harness.rs
+++ b/crates/cache-router/tests/event_loop/harness.rs
@@ -11,8 +11,8 @@
 use cache_router::event_loop::{EventLoop, EventLoopConfig, STALL_THRESHOLD};
 use cache_router::lifecycle::LifecyclePhase;
 use cache_router::message::{
-    AttemptId, ClientCommand, ClientDeparture, ClientId, ClientReply, ClientRequest, ConnectionId,
-    DepartureCause, DiscoveredEndpoint, EndpointListUpdate, RouterEvent,
+    AttemptId, ClientCommand, ClientDisconnect, ClientId, ClientReply, ClientRequest, ConnectionId,
+    DisconnectCause, DiscoveredEndpoint, EndpointListUpdate, RouterEvent,
 };
 use cache_router::trace::Trace;
 use routing_policy::{AttemptStatus, ListUpdate, Micros, RequestId, ServerId};
@@ -135,10 +135,10 @@
 
     /// Closes the client's connection.
     pub fn disconnect(&mut self) {
-        self.handle(RouterEvent::ClientDisconnected(ClientDeparture {
+        self.handle(RouterEvent::ClientDisconnected(ClientDisconnect {
             client: CLIENT,
             at: self.clock.now(),
-            cause: DepartureCause::Closed,
+            cause: DisconnectCause::ClosedByClient,
         }));
     }
 
--- a/crates/cache-router/tests/event_loop/shutdown.rs
+++ b/crates/cache-router/tests/event_loop/shutdown.rs
@@ -1,7 +1,9 @@
 //! Requests during the shutdown of the router.
 
 use cache_router::event_loop::timers::Timer;
-use cache_router::lifecycle::{FINAL_WRITE_TIME, KILL_LONGEST_DEADLINE, KILL_SLACK, ShutdownStep};
+use cache_router::lifecycle::{
+    FINAL_WRITE_TIME, KILL_GRACE_PERIOD, MAX_KILL_DEADLINE, ShutdownStep,
+};
 use cache_router::message::RouterEvent;
 
 use crate::harness::{Harness, read_request};
@@ -15,7 +17,7 @@
     let now = harness.clock.now();
     let deadline = harness.in_flight().request(request).unwrap().deadline();
     assert!(deadline > now);
-    assert!(deadline + FINAL_WRITE_TIME <= now + KILL_LONGEST_DEADLINE + KILL_SLACK);
+    assert!(deadline + FINAL_WRITE_TIME <= now + MAX_KILL_DEADLINE + KILL_GRACE_PERIOD);
     let reply_by = harness.event_loop.lifecycle().reply_by().unwrap();
     let end_by = harness.event_loop.lifecycle().end_by().unwrap();
     assert!(reply_by >= terminated_at && reply_by < end_by);
--- a/crates/cache-router/tests/lifecycle.rs
+++ b/crates/cache-router/tests/lifecycle.rs
@@ -7,7 +7,7 @@
 )]
 
 use cache_router::lifecycle::{
-    FINAL_WRITE_TIME, KILL_LONGEST_DEADLINE, KILL_SLACK, Lifecycle, LifecyclePhase, ShutdownStep,
+    FINAL_WRITE_TIME, KILL_GRACE_PERIOD, Lifecycle, LifecyclePhase, MAX_KILL_DEADLINE, ShutdownStep,
 };
 use routing_policy::Micros;
 use tokio::sync::watch;
@@ -78,7 +78,7 @@
     lifecycle.begin_shutdown(TERMINATED_AT).unwrap();
     let end_by = lifecycle.end_by().unwrap();
     // The router's own time limit after the longest deadline is shorter than the platform's before the kill.
-    assert!(end_by < TERMINATED_AT + LONGEST_DEADLINE + KILL_SLACK);
+    assert!(end_by < TERMINATED_AT + LONGEST_DEADLINE + KILL_GRACE_PERIOD);
     assert_eq!(
         lifecycle.limit_deadline(distant_deadline),
         end_by - FINAL_WRITE_TIME
@@ -95,13 +95,13 @@
         let mut lifecycle =
             Lifecycle::new(watch::channel(LifecyclePhase::Ready).0, longest_deadline);
         lifecycle.begin_shutdown(TERMINATED_AT).unwrap();
-        let killed_at = TERMINATED_AT + longest_deadline.min(KILL_LONGEST_DEADLINE) + KILL_SLACK;
+        let killed_at = TERMINATED_AT + longest_deadline.min(MAX_KILL_DEADLINE) + KILL_GRACE_PERIOD;
         let reply_by = lifecycle.reply_by().unwrap();
         assert!(reply_by + MAX_SUSPENSION + FINAL_WRITE_TIME <= killed_at);
         // A request that arrives while connections are still accepted has its full deadline, up to the limit that the
         // platform counts.
         let last_accepted = TERMINATED_AT + 400_000;
-        let counted_deadline = longest_deadline.min(KILL_LONGEST_DEADLINE);
+        let counted_deadline = longest_deadline.min(MAX_KILL_DEADLINE);
         assert!(
             reply_by >= last_accepted + counted_deadline,
             "{longest_deadline}"
--- a/crates/cache-router/tests/socket/listen.rs
+++ b/crates/cache-router/tests/socket/listen.rs
@@ -3,7 +3,7 @@
 use std::io;
 
 use cache_router::socket::errors::ErrorMeaning;
-use cache_router::socket::listen::{AcceptRetry, classify_accept, may_pass, remedy};
+use cache_router::socket::listen::{AcceptRetry, classify_accept, is_transient, remedy};
 
 /// An error that no table lists.
 const UNLISTED: i32 = libc::ECHILD;
@@ -81,13 +81,13 @@
     ];
     let unlisted_remedy = remedy(&error(UNLISTED));
     for errno in transient {
-        assert!(may_pass(&error(errno)), "{}", error(errno));
+        assert!(is_transient(&error(errno)), "{}", error(errno));
         assert_ne!(remedy(&error(errno)), unlisted_remedy);
     }
     for errno in permanent {
-        assert!(!may_pass(&error(errno)), "{}", error(errno));
+        assert!(!is_transient(&error(errno)), "{}", error(errno));
     }
     for errno in [libc::EINTR, libc::EAGAIN, UNLISTED] {
-        assert!(may_pass(&error(errno)), "{}", error(errno));
+        assert!(is_transient(&error(errno)), "{}", error(errno));
     }
 }
