--- a/crates/cache-router/src/client_connection.rs
+++ b/crates/cache-router/src/client_connection.rs
@@ -71,7 +71,7 @@
         }
         CloseReason::OutputStalled => {
             connection
-                .handle_disconnect(DisconnectCause::ClosedByRouter)
+                .handle_disconnect(DisconnectCause::OutputStalled)
                 .await
         }
         CloseReason::ClosedByRouter => connection.linger().await,
--- a/crates/cache-router/src/discovery/call.rs
+++ b/crates/cache-router/src/discovery/call.rs
@@ -23,7 +23,7 @@
 /// A call fails if no connection is established after this time.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Calls may queue at discovery, for up to 2 s according to the operators. A call whose response has not begun after
-/// this time counts as half open, and a second call is made in parallel. The first answer is used. The first call is
+/// this time counts as half open, and a second call is made in parallel. The first response is used. The first call is
 /// not ended when the second begins, because one that is queued for longer would lose its place in the queue.
 pub const HALF_OPEN_TIMEOUT: Duration = Duration::from_millis(2_100);
 /// The response of a call must begin within this time.
--- a/crates/cache-router/src/discovery/list_decoder.rs
+++ b/crates/cache-router/src/discovery/list_decoder.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Error)]
 pub enum ListError {
     /// The data is not JSON, or does not have the form of an endpoint list.
-    #[error("{0}; the list in force stays in use")]
+    #[error("{0}; the current list stays in use")]
     Invalid(#[from] serde_json::Error),
     /// A list exceeds the size limit.
     #[error("an endpoint list is longer than {max} bytes", max = MAX_LIST_BYTES)]
--- a/crates/cache-router/src/event_loop/dispatcher/connection_events.rs
+++ b/crates/cache-router/src/event_loop/dispatcher/connection_events.rs
@@ -150,8 +150,8 @@
         }
     }
 
-    /// Returns the status of an attempt that got no connection to a server. If this machine could not open one, the
-    /// server is not to blame, as it was never asked.
+    /// Returns the status of an attempt that got no connection to a server. If this machine could not open one, that
+    /// does not count as a failure of the server, which was never contacted.
     pub(super) fn connect_failure_status(&self, server: ServerId) -> AttemptStatus {
         if self.pool.is_connecting_delayed_locally(server) {
             AttemptStatus::NotSent
--- a/crates/cache-router/src/lifecycle.rs
+++ b/crates/cache-router/src/lifecycle.rs
@@ -9,12 +9,12 @@
 const ACCEPT_AFTER_TERMINATE: Micros = 450_000;
 /// The shutdown ends no later than this many microseconds after the longest deadline of a request class, counted from
 /// SIGTERM.
-const SHUTDOWN_SLACK: Micros = 550_000;
-/// The platform kills a router no sooner than the longest deadline of a request class after SIGTERM, but it counts that
-/// deadline as at most this many microseconds.
+const SHUTDOWN_GRACE_PERIOD: Micros = 550_000;
+/// The platform kills a router no sooner than the longest deadline of a request class after SIGTERM. A longer deadline
+/// than this many microseconds counts as this many.
 pub const MAX_KILL_DEADLINE: Micros = 3_000_000;
-/// The platform waits this many microseconds longer before it kills a router. Requests that arrive 0.7 s after SIGTERM
-/// or later must have their reply by then.
+/// The platform waits this many microseconds after that deadline before it kills a router. Requests that arrive 0.7 s
+/// after SIGTERM or later must have their reply by then.
 pub const KILL_GRACE_PERIOD: Micros = 700_000;
 /// Time reserved for writing the last replies, in microseconds, both before the router exits and before it may be
 /// killed.
@@ -121,7 +121,7 @@
         if self.shutdown.is_some() {
             return None;
         }
-        let end_by = now + self.longest_deadline + SHUTDOWN_SLACK;
+        let end_by = now + self.longest_deadline + SHUTDOWN_GRACE_PERIOD;
         let killed_at = now + self.longest_deadline.min(MAX_KILL_DEADLINE) + KILL_GRACE_PERIOD;
         // If the router is suspended, its own end is delayed as well, but the platform's kill is not. Only the latter
         // needs a reserve for a suspension.
--- a/crates/cache-router/src/message.rs
+++ b/crates/cache-router/src/message.rs
@@ -53,19 +53,19 @@
 pub struct ClientDisconnect {
     /// The client.
     pub client: ClientId,
-    /// When the close of the connection was read or the client was cut off, on the router's clock.
+    /// When the router read the close of the connection or closed it, on the router's clock.
     pub at: Micros,
-    /// Who ended the connection.
+    /// Why the connection ended.
     pub cause: DisconnectCause,
 }
 
-/// Who ended the connection of a client.
+/// Why the connection of a client ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DisconnectCause {
     /// The client closed it, or the network failed.
     ClosedByClient,
-    /// The router closed it because the client read none of its replies.
-    ClosedByRouter,
+    /// The client read none of its replies for too long, and the router closed it.
+    OutputStalled,
 }
 
 /// A parsed command of a client.
--- a/crates/cache-router/src/trace.rs
+++ b/crates/cache-router/src/trace.rs
@@ -81,6 +81,6 @@
 pub fn disconnect_word(cause: DisconnectCause) -> &'static str {
     match cause {
         DisconnectCause::ClosedByClient => "departed",
-        DisconnectCause::ClosedByRouter => "dropped",
+        DisconnectCause::OutputStalled => "dropped",
     }
 }
--- a/crates/cache-router/tests/socket/listen.rs
+++ b/crates/cache-router/tests/socket/listen.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn transient_errors_may_pass_and_have_a_specific_remedy() {
+fn transient_errors_are_recognized_and_have_a_specific_remedy() {
     let transient = [
         libc::EADDRINUSE,
         libc::EADDRNOTAVAIL,
--- a/crates/routing-policy/src/policy/admission.rs
+++ b/crates/routing-policy/src/policy/admission.rs
@@ -46,7 +46,7 @@
 
 impl Policy {
     /// Charges a request to its tenant's quota; returns false if the tenant is over its quota and load is being
-    /// shed. A tenant's bucket fills at this router's part of the quota, times the quota multiplier, so that
+    /// shed. A tenant's bucket fills at this router's share of the quota, times the quota multiplier, so that
     /// the tenants furthest over their quotas are rejected first. A rate measured by one of many routers is too
     /// inaccurate and would reject tenants within their quotas.
     pub(super) fn admit(&mut self, request: &mut InFlightRequest, tenant: usize) -> bool {
@@ -92,7 +92,7 @@
         deadline.saturating_sub(request.remaining_deadline)
     }
 
-    /// Requests per second for this router to serve: its part of all quotas, or the given rate of admitted
+    /// Requests per second for this router to serve: its share of all quotas, or the given rate of admitted
     /// requests if there are no quotas.
     pub(super) fn own_rate(&self, admitted_per_s: f64) -> f64 {
         let quota = self.request_rate.quota_share();
--- a/crates/routing-policy/src/policy/attempts.rs
+++ b/crates/routing-policy/src/policy/attempts.rs
@@ -25,7 +25,7 @@
 /// Weight of an answer in its server's minimum answer time, if it is slower than that. A faster answer replaces
 /// the minimum, so that it measures the network without random variation or queueing.
 const MIN_ANSWER_TIME_WEIGHT: f64 = 0.02;
-/// The settings give the cost of connections for one router in this many.
+/// The costs of connections in the settings are those of one router in a deployment of this many.
 const CONNECTION_COST_ROUTERS: f64 = 100.0;
 
 /// Whether idle connections are closed, because they cost more than they save. Whatever the traffic, the cost
@@ -150,7 +150,7 @@
         })
     }
 
-    /// Updates what is known of the server and of the load on the fleet, or of the origin.
+    /// Updates what is known of the origin, or of the cache server and of the load on the fleet.
     fn record_outcome(&mut self, attempt: &Attempt, status: AttemptStatus) {
         let Some(server) = self.fleet.get_mut(attempt.server) else {
             return;
@@ -203,8 +203,7 @@
         }
     }
 
-    /// Measures a server's time from when an attempt is written. The wait for a connection is no evidence of
-    /// load.
+    /// Measures the time of an attempt from when it is written. The wait for a connection is no evidence of load.
     pub(super) fn on_connection(&mut self, id: AttemptId, established: bool) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
@@ -228,7 +227,7 @@
         }
         let elapsed = attempt.elapsed(self.now);
         if elapsed < attempt.slow_after {
-            return; // It was written later than sent: the timer set at the write checks it.
+            return; // It was written later than it was sent. The timer that was set at the write checks it.
         }
         let check_interval = attempt.slow_after + 1;
         let is_first_check = elapsed < check_interval * 3 / 2;
--- a/crates/routing-policy/src/policy/endpoints.rs
+++ b/crates/routing-policy/src/policy/endpoints.rs
@@ -40,7 +40,7 @@
         for endpoint in endpoints {
             restarted.extend(self.update_server(endpoint));
         }
-        // Removed servers without attempts in flight are forgotten here: a scan of the fleet at each review
+        // Removed servers without attempts in flight are deleted here: a scan of the fleet at each review
         // took too much CPU time.
         self.fleet.apply_list_changes();
         self.sum_capacities();
--- a/crates/routing-policy/src/policy/origin_limiter.rs
+++ b/crates/routing-policy/src/policy/origin_limiter.rs
@@ -27,9 +27,9 @@
 const FETCH_FRACTION: f64 = 0.7;
 /// Factor applied to the cap at a congestion signal.
 const CAP_CUT_FACTOR: f64 = 0.8;
-/// The lowest cap, as a fraction of the outstanding calls in an equal share.
+/// The lowest cap, as a fraction of this router's equal share of the outstanding calls.
 const CAP_FLOOR_FRACTION: f64 = 0.1;
-/// Fraction of its ceiling at which crossings of the cap are logged.
+/// The log reports when the cap crosses this fraction of its maximum.
 const LOGGED_CAP_FRACTION: f64 = 0.25;
 /// Fraction of the shortest latency objective after which an answer is a congestion signal.
 const SLOW_ANSWER_FRACTION: f64 = 0.8;
--- a/crates/routing-policy/src/policy/outlier.rs
+++ b/crates/routing-policy/src/policy/outlier.rs
@@ -1,11 +1,11 @@
-//! Ejection of servers that fail several times in a row, and their return.
+//! Ejection of servers that fail repeatedly, and their readmission.
 
 use super::Policy;
 use crate::interface::{Action, Micros, ServerId};
 use crate::log_event::LogEvent;
 use crate::state::{Attempt, Ejection, Server};
 
-/// Consecutive failures after which a server is ejected; each answer takes one off the count.
+/// Failure count at which a server is ejected. Each failure adds one to the count, each answer subtracts one.
 const FAILURES_TO_EJECT: u32 = 3;
 /// Duration of the first ejection of a server, in longest latency objectives. Each further ejection lasts twice
 /// as long as the one before.
--- a/crates/routing-policy/src/policy/overload.rs
+++ b/crates/routing-policy/src/policy/overload.rs
@@ -40,7 +40,7 @@
 /// Attempts over which a kind's step shrinks from a full one to the smallest. A router starts without any
 /// observations, often together with most others, and overloads the kinds of low capacity until it knows them.
 const KIND_STEP_ATTEMPTS: f64 = 24.0;
-/// Every key share is whole again after at most this multiple of the longest latency objective. A server with
+/// Every key share is back at 1 after at most this multiple of the longest latency objective. A server with
 /// few keys gives few answers that could show that it keeps up.
 const KEY_SHARE_RESTORE_OBJECTIVES: f64 = 256.0;
 
--- a/crates/routing-policy/src/policy/selection.rs
+++ b/crates/routing-policy/src/policy/selection.rs
@@ -32,7 +32,7 @@
     /// cause, and no server is a better choice.
     is_ejected: bool,
     /// Whether an answer would be too late even in the server's minimum answer time. A client with little time
-    /// left is served by a server near by or not at all.
+    /// left is served by a server nearby or not at all.
     is_too_slow: bool,
     is_skipped: bool,
     position: f64,
--- a/crates/routing-policy/src/policy/slow_start.rs
+++ b/crates/routing-policy/src/policy/slow_start.rs
@@ -111,9 +111,9 @@
         }
     }
 
-    /// A server that has just started begins with its burst used up, and the first attempt is allowed after a
-    /// random part of the interval between two attempts. One attempt at once from each of many routers would
-    /// overload it.
+    /// A server that has just started begins with its burst allowance used up, and the first attempt is allowed
+    /// after a random part of the interval between two attempts. One attempt at once from each of many routers
+    /// would overload it.
     pub(super) fn begin_slow_start(&mut self, id: ServerId) {
         let random_level = self.random.unit();
         let attempts = self
--- a/crates/routing-policy/src/state/machine_kind.rs
+++ b/crates/routing-policy/src/state/machine_kind.rs
@@ -10,13 +10,13 @@
     pub(crate) key_share: KeyShare,
     /// Number of ready, warm servers of this kind.
     pub(crate) warm_servers: u32,
-    /// Rate of responses that this router receives per warm server.
+    /// Rate of answers that this router receives per warm server.
     pub(crate) answers_per_server: RateEstimator,
     judged_attempts: f64,
 }
 
 impl MachineKind {
-    /// Counts a response in time from a warm server of this kind.
+    /// Counts an answer in time from a warm server of this kind.
     pub(crate) fn count_warm_answer(&mut self) {
         if self.warm_servers > 0 {
             let count_per_server = 1.0 / f64::from(self.warm_servers);
--- a/crates/routing-policy/src/state/position_hash.rs
+++ b/crates/routing-policy/src/state/position_hash.rs
@@ -13,7 +13,7 @@
 /// Length of the hash input: a key followed by a server ID.
 const INPUT_BYTES: u64 = 12;
 
-/// Hashes one key with any server. The result equals the hash that [`unit_hash`](super::unit_hash) maps to a
+/// Hashes one key with any server. The result equals the hash that [`unit_hash`](super::unit_hash()) maps to a
 /// number. The part that depends on the key alone is computed once, which leaves two multiplications per
 /// server. This takes a fifth of the time of the general function.
 #[derive(Clone, Copy)]
--- a/crates/routing-policy/src/state/request.rs
+++ b/crates/routing-policy/src/state/request.rs
@@ -3,7 +3,7 @@
 use super::Deferral;
 use crate::interface::{AttemptStatus, Key, Micros, Request, RequestId, ServerId};
 
-/// A request that has not had its final response.
+/// A request that has not had its final answer.
 #[derive(Default)]
 pub(crate) struct InFlightRequest {
     /// Index of its class in the settings.
@@ -16,10 +16,10 @@
     pub(crate) has_missed: bool,
     /// Index of the tenant whose quota was charged for it.
     pub(crate) charged_tenant: Option<usize>,
-    /// The time until which a response still has value: its latency objective, or its deadline if late
-    /// responses count.
+    /// The time until which an answer still has value: its latency objective, or its deadline if late
+    /// answers count.
     pub(crate) useful_until: Micros,
-    /// The time by which its final response is due.
+    /// The time by which its final answer is due.
     pub(crate) deadline_at: Micros,
     /// Number of attempts sent.
     pub(crate) attempts_sent: u16,
@@ -76,7 +76,7 @@
         self.has_missed |= status == AttemptStatus::Miss;
     }
 
-    /// The kind of call that this request makes to the origin.
+    /// The kind of attempt that this request makes at the origin.
     pub(crate) fn origin_attempt_kind(&self) -> AttemptKind {
         if self.is_write {
             AttemptKind::OriginWrite
--- a/crates/routing-policy/src/state/server.rs
+++ b/crates/routing-policy/src/state/server.rs
@@ -26,22 +26,22 @@
     pub(crate) idle_weight: f32,
     /// Number of attempts of this router in flight there.
     pub(crate) in_flight: u32,
-    /// Time of its last response.
+    /// Time of its last answer.
     pub(crate) answered_at: Micros,
-    /// Count of its responses, as of `answered_at`. The count decays exponentially with a time constant of one
+    /// Count of its answers, as of `answered_at`. The count decays exponentially with a time constant of one
     /// latency objective.
     pub(crate) answers: f64,
     /// Approximately its shortest answer time, including the network.
     pub(crate) min_answer_time: SmoothedTime,
     /// The fraction of its keys that it keeps.
     pub(crate) key_share: KeyShare,
-    /// Total of the steps by which it has reduced its machine kind's key share since its last response in time.
+    /// Total of the steps by which it has reduced its machine kind's key share since its last answer in time.
     pub(crate) kind_cut_steps: f64,
-    /// Up-down count of failures: each failure adds one, each response subtracts one, not below 0.
+    /// Up-down count of failures: each failure adds one, each answer subtracts one, not below 0.
     pub(crate) failure_count: u32,
     /// Whether its last failure was a failure to connect.
     pub(crate) unreachable: bool,
-    /// Its ejection. It remains set after its end, until the server responds.
+    /// Its ejection. It remains set after its end, until the server answers.
     pub(crate) ejection: Option<Ejection>,
     /// Recent attempts at this server, which slow start limits.
     pub(crate) slow_start_bucket: LeakyBucket,
@@ -53,7 +53,7 @@
         self.endpoint.state == EndpointState::Ready && !self.is_origin
     }
 
-    /// Counts a response to an attempt with the given latency objective.
+    /// Counts an answer to an attempt with the given latency objective.
     pub(crate) fn count_answer(&mut self, now: Micros, objective: Micros) {
         self.answers = 1.0 + self.recent_answers(now, objective);
         self.answered_at = now;
@@ -64,7 +64,7 @@
         self.failure_count = self.failure_count.saturating_sub(1);
     }
 
-    /// The count of its responses, decayed to `now` with the given time constant.
+    /// The count of its answers, decayed to `now` with the given time constant.
     pub(crate) fn recent_answers(&self, now: Micros, time_constant: Micros) -> f64 {
         self.answers * (-((now - self.answered_at) as f64) / time_constant as f64).exp()
     }
--- a/crates/routing-policy/tests/unit/selection_reference.rs
+++ b/crates/routing-policy/tests/unit/selection_reference.rs
@@ -158,7 +158,7 @@
                 request(&mut policy, &mut draws, id);
                 let expected = policy.pick_by_full_scan(id);
                 prop_assert_eq!(policy.pick(id), expected);
-                // Again, from the kept order.
+                // Again, with the first segment from the cache.
                 prop_assert_eq!(policy.pick(id), expected);
                 // With the picked server excluded, as on a retry.
                 let excluded = &mut policy.requests.get_mut(&id).unwrap().excluded_servers;
