--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,5 +1,5 @@
 //! The result of a run: requests served, rejected and late by class and by window, latencies, attempts, calls to the
-//! origin, and violated invariants. The same run gives the same bytes.
+//! origin, and violated invariants. Two runs with the same scenario and seed in virtual time write identical bytes.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
@@ -15,21 +15,21 @@
 /// Length of a window, in microseconds.
 pub const WINDOW: Micros = 5_000_000;
 
-/// Violations that a report spells out; further ones are only counted.
+/// Number of violations that a report describes; further ones are only counted.
 const MAX_VIOLATIONS_SHOWN: usize = 20;
 
-/// The violations of a run, as a report has them.
+/// The violations of a run, as a report states them.
 pub(crate) struct Violations {
-    /// The first ones, in words.
+    /// Descriptions of the first ones.
     pub(crate) shown: Vec<String>,
-    /// Number of all.
+    /// Total number of violations.
     pub(crate) count: usize,
 }
 
-/// The violations so far, their times counted from `begin`.
+/// The violations so far. Their times are relative to `begin`.
 pub(crate) fn violations(invariants: &Invariants, begin: Micros) -> Violations {
     let violations = invariants.violations();
-    let in_words = |violation: &Violation| {
+    let describe = |violation: &Violation| {
         let relative = Violation {
             at: violation.at.saturating_sub(begin),
             kind: violation.kind.clone(),
@@ -38,7 +38,7 @@
     };
     let first = violations.iter().take(MAX_VIOLATIONS_SHOWN);
     Violations {
-        shown: first.map(in_words).collect(),
+        shown: first.map(describe).collect(),
         count: violations.len(),
     }
 }
@@ -56,14 +56,14 @@
     Failed,
     /// Its client waited until the deadline.
     TimedOut,
-    /// Its client went away before the deadline.
+    /// Its client disconnected before the deadline.
     Abandoned,
 }
 
 /// Counts of requests, attempts and priority weight.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Requests that have ended; a client's retries are not counted.
+    /// Requests that have ended. A request and its retries by the client count once.
     #[serde(rename = "asked")]
     pub requests: u64,
     /// Requests answered within the latency objective.
@@ -77,18 +77,18 @@
     pub failed: u64,
     /// Requests whose client waited until the deadline.
     pub timed_out: u64,
-    /// Requests whose client went away before the deadline.
+    /// Requests whose client disconnected before the deadline.
     #[serde(rename = "gave_up")]
     pub abandoned: u64,
-    /// Attempts of clients at nodes, the first ones included.
+    /// Attempts that clients sent to nodes, including the first ones.
     #[serde(rename = "tries")]
     pub client_attempts: u64,
-    /// Attempts of nodes at cache servers.
+    /// Attempts that nodes sent to cache servers.
     pub attempts: u64,
     /// Attempts that cache servers rejected.
     #[serde(rename = "turned_away")]
     pub rejected_attempts: u64,
-    /// Calls of nodes to the origin.
+    /// Calls that nodes sent to the origin.
     #[serde(rename = "origin")]
     pub origin_calls: u64,
     /// Sum of the priority weights of all requests.
@@ -100,7 +100,7 @@
 }
 
 impl Counts {
-    /// Counts a request that ended, with its priority weight.
+    /// Counts a request that has ended, with its priority weight.
     pub fn record(&mut self, end: RequestEnd, weight: f64) {
         self.requests += 1;
         self.priority_weight += weight;
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Combines each pair of counts.
+    /// Combines each count with its counterpart in `other`.
     fn combine(
         &self,
         other: &Counts,
@@ -146,12 +146,13 @@
         self.combine(other, |a, b| a + b, |a, b| a + b)
     }
 
-    /// What was counted since an earlier count.
+    /// The difference from an earlier state of the same counts.
     pub fn since(&self, earlier: &Counts) -> Counts {
         self.combine(earlier, u64::saturating_sub, |a, b| a - b)
     }
 
-    /// The service level: fraction of the priority weight that was answered within the latency objective.
+    /// The service level: the fraction of the priority weight that was answered within the latency objective. It is 1
+    /// if there were no requests.
     pub fn service(&self) -> f64 {
         if self.priority_weight > 0.0 {
             self.served_weight / self.priority_weight
@@ -161,7 +162,7 @@
     }
 }
 
-/// Percentiles of the latency of answers in microseconds, counted from the first attempt.
+/// Percentiles of the latency of answers in microseconds, measured from the client's first attempt.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct LatencyPercentiles {
     /// The median.
@@ -193,14 +194,14 @@
     pub latency: LatencyPercentiles,
 }
 
-/// What a fault of the scenario did to the system calls of the nodes, over all their processes.
+/// How often a fault of the scenario was injected into system calls, summed over all processes of the nodes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InjectedFault {
-    /// The fault, by its place in the scenario.
+    /// Index of the fault in the scenario.
     pub event: usize,
-    /// Calls that it could have hit. Of a stepped clock, readings of clocks that were off.
+    /// Calls that matched the fault. For a clock step, readings of the clocks that were off.
     pub calls: u64,
-    /// Calls that it did hit.
+    /// Calls into which it was injected.
     pub injected: u64,
 }
 
@@ -219,27 +220,27 @@
     pub classes: BTreeMap<String, ClassReport>,
     /// Counts by [`WINDOW`], from the time of the first attempt.
     pub windows: Vec<Counts>,
-    /// Attempts at each cache server.
+    /// Number of attempts sent to each cache server.
     #[serde(rename = "load")]
     pub attempts_by_server: BTreeMap<u32, u64>,
-    /// Number of events of the run.
+    /// Number of events that the run processed.
     pub events: u64,
-    /// The first violations of invariants, in words.
+    /// Descriptions of the first violations of invariants.
     #[serde(rename = "broken")]
     pub violations: Vec<String>,
-    /// Number of all violations.
+    /// Total number of violations.
     #[serde(rename = "broken_in_all")]
     pub violation_count: usize,
-    /// What was injected into the system calls of nodes.
+    /// Faults that were injected into system calls of nodes.
     #[serde(default, rename = "injected", skip_serializing_if = "Vec::is_empty")]
     pub injected_faults: Vec<InjectedFault>,
 }
 
 impl Report {
-    /// Writes it as a line of JSON. The file is replaced as a whole.
+    /// Writes the report as one line of JSON. The file is replaced atomically.
     ///
     /// # Errors
-    /// If no file can be made beside it or there is no space; the old file is left as it was.
+    /// If no temporary file can be created beside it or the disk is full. An earlier file is left unchanged.
     pub fn save(&self, path: &Path) -> Result<(), WriteError> {
         let line = serde_json::to_string(self).map_err(|e| WriteError {
             path: path.into(),
@@ -257,7 +258,8 @@
     fn write_windows(&self, f: &mut Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
-            "   from   asked  in time%   late%  refused%  failed%  t/o%  left%  tries/r  att/r  away%  origin/s"
+            "   from  requests  in time%   late%  rejected%  failed%  timeout%  abandoned%  client att/req  att/req  \
+             att rej%  origin/s"
         )?;
         for (index, window) in self.windows.iter().enumerate() {
             let requests = window.requests.max(1) as f64;
@@ -268,7 +270,7 @@
             let origin_per_s = window.origin_calls as f64 * 1e6 / WINDOW as f64;
             writeln!(
                 f,
-                "{:>6}s {:>7}  {:>8.1} {:>7.1} {:>9.1} {:>8.1} {:>5.1} {:>6.1} {:>8.2} {:>6.2} {:>6.1} {:>9.0}",
+                "{:>6}s {:>9} {:>9.1} {:>7.1} {:>10.1} {:>8.1} {:>9.1} {:>11.1} {:>15.2} {:>8.2} {:>9.1} {:>9.0}",
                 index as u64 * WINDOW / 1_000_000,
                 window.requests,
                 percent(window.in_time),
@@ -291,7 +293,7 @@
         for (name, class) in &self.classes {
             writeln!(
                 f,
-                "class {name}: served {:.4}, latency ms p50 {:.1} p99 {:.1} p99.9 {:.1}",
+                "class {name}: service level {:.4}, latency ms p50 {:.1} p99 {:.1} p99.9 {:.1}",
                 class.counts.service(),
                 milliseconds(class.latency.p50_us),
                 milliseconds(class.latency.p99_us),
@@ -308,13 +310,16 @@
                 calls,
                 injected,
             } = fault;
-            writeln!(f, "event {event} hit {injected} of {calls} system calls")
+            writeln!(
+                f,
+                "event {event}: fault injected into {injected} of {calls} system calls"
+            )
         })
     }
 
     fn write_violations(&self, f: &mut Formatter<'_>) -> fmt::Result {
         if self.invariants_hold() {
-            return writeln!(f, "rules kept");
+            return writeln!(f, "all invariants held");
         }
         writeln!(f, "RULES BROKEN, {} times:", self.violation_count)?;
         self.violations
@@ -337,7 +342,10 @@
             f,
             "seed {seed}: {nodes} nodes, {servers} cache servers, {events} events"
         )?;
-        writeln!(f, "served in time, by worth: {service:.4}")?;
+        writeln!(
+            f,
+            "service level (fraction of the priority weight served in time): {service:.4}"
+        )?;
         self.write_windows(f)?;
         self.write_classes(f)?;
         self.write_injected_faults(f)?;
--- a/crates/testbed/src/scenario/fault_event.rs
+++ b/crates/testbed/src/scenario/fault_event.rs
@@ -1,4 +1,4 @@
-//! The faults that a scenario injects, and their description in words.
+//! The faults that a scenario injects, and their descriptions for progress messages.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -10,9 +10,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OriginFailure {
-    /// After they were worked on: they may have run.
+    /// After processing: they may have taken effect.
     Late,
-    /// At once: they never ran.
+    /// At once: they were not processed.
     Early,
 }
 
@@ -20,28 +20,28 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ClockOwner {
-    /// Machines of nodes.
+    /// The clocks of the nodes' machines.
     #[default]
     Nodes,
-    /// The machine of the endpoint list service.
+    /// The clock of the endpoint list service's machine.
     Discovery,
     /// Both.
     All,
 }
 
 impl ClockOwner {
-    /// Whether machines of nodes are among them.
+    /// Whether clocks of nodes are stepped.
     pub fn includes_nodes(self) -> bool {
         self != ClockOwner::Discovery
     }
 
-    /// Whether the machine of the endpoint list service is among them.
+    /// Whether the clock of the endpoint list service is stepped.
     pub fn includes_discovery(self) -> bool {
         self != ClockOwner::Nodes
     }
 }
 
-/// The calls that `short-counts` concerns unless it names some.
+/// The calls that `short-counts` affects by default.
 fn default_transfers() -> Vec<SystemCall> {
     vec![
         SystemCall::Recv,
@@ -57,228 +57,230 @@
     1.0
 }
 
-/// A fault, and when it is injected. A `part` is a fraction, 0 to 1; members are picked at random.
+/// A fault, and when it is injected. Each `part` is a fraction from 0 to 1; the affected members are picked at random.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum FaultEvent {
-    /// A part of the servers is replaced, spread over a time: each drains and ends, and a new, cold one starts.
+    /// A fraction of the cache servers is replaced, one after another: each drains and stops, and a new server starts
+    /// with an empty cache.
     #[serde(rename = "replace")]
     ReplaceServers {
-        /// When it begins.
+        /// When the fault begins.
         at: Span,
-        /// Part of the servers.
+        /// Fraction of the cache servers.
         part: f64,
-        /// Time from the first to the last replacement.
+        /// Time over which the replacements are spread.
         over: Span,
         /// How long each server drains.
         drain: Span,
     },
-    /// A part of the nodes is killed at once.
+    /// A fraction of the nodes is killed, all at the same time.
     KillNodes {
-        /// When.
+        /// When the fault begins.
         at: Span,
-        /// Part of the nodes.
+        /// Fraction of the nodes.
         part: f64,
-        /// They start again after this time.
+        /// Time after which they start again.
         back: Span,
     },
-    /// A part of the nodes is paused, as on a suspended machine. Their connections stay open.
+    /// A fraction of the nodes is paused, as on a suspended machine. Their connections stay open.
     #[serde(rename = "stop-nodes")]
     PauseNodes {
-        /// When.
+        /// When the fault begins.
         at: Span,
-        /// Part of the nodes.
+        /// Fraction of the nodes.
         part: f64,
-        /// For how long.
+        /// How long the fault lasts.
         lasts: Span,
     },
-    /// A part of the nodes is restarted one after another: each shuts down gracefully and starts again. The load
-    /// balancer still sends it new requests for 0.3 s.
+    /// A fraction of the nodes is restarted one after another: each shuts down gracefully and starts again. The load
+    /// balancer sends a node new requests for 0.3 s after its shutdown has begun.
     RestartNodes {
-        /// When it begins.
+        /// When the fault begins.
         at: Span,
-        /// Part of the nodes.
+        /// Fraction of the nodes.
         part: f64,
-        /// Time from the first to the last restart.
+        /// Time over which the restarts are spread.
         over: Span,
     },
-    /// The endpoint list service moves to another address: watches end, nodes are notified of the address (on sockets by
-    /// SIGHUP), and fetch the complete list.
+    /// The endpoint list service moves to another address. Open watches end, nodes are notified of the new address (on
+    /// sockets by SIGHUP) and fetch the complete list.
     #[serde(rename = "move-list")]
     RelocateList {
-        /// When.
+        /// When the fault begins.
         at: Span,
     },
-    /// A zone is cut off from the others.
+    /// A zone is partitioned from the others.
     #[serde(rename = "cut-zone")]
     IsolateZone {
-        /// When.
+        /// When the fault begins.
         at: Span,
-        /// Its number.
+        /// Number of the zone.
         zone: u8,
-        /// For how long.
+        /// How long the fault lasts.
         lasts: Span,
     },
-    /// A part of the servers crashes without notice, and each starts again, cold.
+    /// A fraction of the cache servers crashes without notice. Each starts again with an empty cache.
     #[serde(rename = "lose-servers")]
     CrashServers {
-        /// When.
+        /// When the fault begins.
         at: Span,
-        /// Part of the servers.
+        /// Fraction of the cache servers.
         part: f64,
-        /// They start again after this time.
+        /// Time after which they start again.
         back: Span,
     },
     /// The endpoint list service is down.
     ListDown {
-        /// When.
+        /// When the fault begins.
         at: Span,
-        /// For how long.
+        /// How long the fault lasts.
         lasts: Span,
     },
     /// Clients send more requests.
     Burst {
-        /// When.
+        /// When the fault begins.
         at: Span,
         /// Multiple of the usual rate.
         factor: f64,
-        /// For how long.
+        /// How long the fault lasts.
         lasts: Span,
     },
-    /// A part of the calls to the origin fails.
+    /// A fraction of the calls to the origin fails.
     OriginFails {
-        /// When.
+        /// When the fault begins.
         at: Span,
-        /// Part of the calls.
+        /// Fraction of the calls.
         part: f64,
-        /// `late`: worked on, and then 500; `early`: 503 or 504 at once, unprocessed.
+        /// `late`: status 500 after processing; `early`: status 503 or 504 at once, without processing.
         how: OriginFailure,
-        /// For how long.
+        /// How long the fault lasts.
         lasts: Span,
     },
-    /// The origin is slow: a part of its cores is taken.
+    /// The origin is slow: a fraction of its cores is not available to it.
     OriginSlow {
-        /// When.
+        /// When the fault begins.
         at: Span,
-        /// Part of its cores.
+        /// Fraction of its cores that is not available.
         taken: f64,
-        /// For how long.
+        /// How long the fault lasts.
         lasts: Span,
     },
-    /// A part of the requests asks for one key.
+    /// A fraction of the requests asks for one key.
     HotKey {
-        /// When.
+        /// When the fault begins.
         at: Span,
-        /// Part of the requests.
+        /// Fraction of the requests.
         part: f64,
-        /// For how long.
+        /// How long the fault lasts.
         lasts: Span,
     },
-    /// A part of the requests scans all keys in turn, the least popular first.
+    /// A fraction of the requests scans all keys in turn, the least popular first.
     Scan {
-        /// When.
+        /// When the fault begins.
         at: Span,
-        /// Part of the requests.
+        /// Fraction of the requests.
         part: f64,
-        /// For how long.
+        /// How long the fault lasts.
         lasts: Span,
     },
-    /// Parts of the answers of cache servers and origin arrive damaged or not at all.
+    /// Fractions of the answers of cache servers and the origin are lost, corrupted, or replaced by a connection reset.
     #[serde(rename = "break-answers")]
     DamageAnswers {
-        /// When.
+        /// When the fault begins.
         at: Span,
-        /// Part that never arrives while its connection stays open,
+        /// Fraction that never arrives while its connection stays open.
         #[serde(default)]
         lost: f64,
-        /// that arrives as other bytes,
+        /// Fraction that arrives with corrupted bytes.
         #[serde(default)]
         spoilt: f64,
-        /// or as a reset of its connection.
+        /// Fraction for which the connection is reset instead.
         #[serde(default)]
         reset: f64,
-        /// For how long.
+        /// How long the fault lasts.
         lasts: Span,
     },
-    /// Peers connect to the nodes and send nothing, malformed bytes or half a command. It has an effect on sockets only:
-    /// no policy sees such peers.
+    /// Peers connect to the nodes and send nothing, malformed bytes or an incomplete command. This has an effect on
+    /// sockets only, because such peers never reach the policy.
     #[serde(rename = "rubbish")]
     MalformedTraffic {
-        /// When.
+        /// When the fault begins.
         at: Span,
-        /// Connections per second, 1,000 at most.
+        /// Connections per second, at most 1,000.
         per_s: f64,
-        /// For how long.
+        /// How long the fault lasts.
         lasts: Span,
     },
-    /// Neighbours take a part of some machines.
+    /// Other workloads on the same machines take a fraction of the capacity of some cache servers.
     #[serde(rename = "neighbour")]
     NoisyNeighbour {
-        /// When.
+        /// When the fault begins.
         at: Span,
-        /// Part of the servers.
+        /// Fraction of the cache servers.
         part: f64,
-        /// Part of each that is taken.
+        /// Fraction of each server's capacity that is taken.
         taken: f64,
-        /// For how long.
+        /// How long the fault lasts.
         lasts: Span,
     },
-    /// System calls of a part of the nodes fail. One `at` 0s is there before the nodes start. It has an effect on sockets
-    /// only: the policy makes no system calls.
+    /// System calls of a fraction of the nodes fail. With `at` 0s the fault is active before the nodes start. It has an
+    /// effect on sockets only, because the policy makes no system calls.
     SystemCalls {
-        /// When.
+        /// When the fault begins.
         at: Span,
-        /// Part of the nodes.
+        /// Fraction of the nodes.
         #[serde(default = "all")]
         part: f64,
-        /// The calls.
+        /// The affected calls.
         calls: Vec<SystemCall>,
-        /// What calls that transfer bytes have to work on to fail.
+        /// Kind of descriptor on which calls that transfer bytes are affected.
         #[serde(default)]
         on: DescriptorKind,
         /// The errors that they fail with.
         errors: Vec<ErrorName>,
-        /// Part of the calls that fails.
+        /// Fraction of the calls that fails.
         rate: f64,
-        /// For how long.
+        /// How long the fault lasts.
         lasts: Span,
     },
-    /// System calls of a part of the nodes transfer fewer bytes than they could. As `system-calls` in all else.
+    /// System calls of a fraction of the nodes transfer fewer bytes than they could. Otherwise the same as
+    /// `system-calls`.
     ShortCounts {
-        /// When.
+        /// When the fault begins.
         at: Span,
-        /// Part of the nodes.
+        /// Fraction of the nodes.
         #[serde(default = "all")]
         part: f64,
-        /// The calls.
+        /// The affected calls.
         #[serde(default = "default_transfers")]
         calls: Vec<SystemCall>,
-        /// What they have to work on.
+        /// Kind of descriptor on which calls are affected.
         #[serde(default)]
         on: DescriptorKind,
-        /// Part of the calls that is cut short.
+        /// Fraction of the calls that is cut short.
         rate: f64,
-        /// For how long.
+        /// How long the fault lasts.
         lasts: Span,
     },
-    /// Wall clocks are stepped, and stay so. One `at` 0s is there before the nodes start. It has an effect on sockets
-    /// only: in virtual time there is one clock.
+    /// Wall clocks are stepped for the rest of the run. With `at` 0s the step is made before the nodes start. It has an
+    /// effect on sockets only, because in virtual time there is only one clock.
     StepClock {
-        /// When.
+        /// When the fault begins.
         at: Span,
-        /// Whose.
+        /// Whose clocks are stepped.
         #[serde(default)]
         who: ClockOwner,
-        /// Part of the nodes, where theirs are stepped.
+        /// Fraction of the nodes, if clocks of nodes are stepped.
         #[serde(default = "all")]
         part: f64,
-        /// By how many seconds; back where negative.
+        /// Size of the step in seconds; negative to step back.
         by_s: f64,
     },
 }
 
 impl FaultEvent {
-    /// When it begins.
+    /// When the fault begins.
     pub fn at(&self) -> Span {
         match self {
             FaultEvent::ReplaceServers { at, .. }
@@ -313,14 +315,14 @@
     }
 }
 
-/// Things in words, with commas, for messages.
-fn join<T: Display>(things: &[T]) -> String {
-    let words: Vec<String> = things.iter().map(T::to_string).collect();
-    words.join(", ")
+/// Joins items with commas, for messages.
+fn join<T: Display>(items: &[T]) -> String {
+    let texts: Vec<String> = items.iter().map(T::to_string).collect();
+    texts.join(", ")
 }
 
 impl FaultEvent {
-    /// Who is affected, for messages.
+    /// What the fault affects, for messages.
     fn subject(&self) -> String {
         match self {
             FaultEvent::ReplaceServers { part, .. } | FaultEvent::CrashServers { part, .. } => {
@@ -335,7 +337,7 @@
             }
             FaultEvent::StepClock { who, part, .. } => match who {
                 ClockOwner::Nodes => format!("the clocks of {} of the nodes", Percent(*part)),
-                ClockOwner::Discovery => "the list service's clock".into(),
+                ClockOwner::Discovery => "the clock of the list service".into(),
                 ClockOwner::All => "all clocks".into(),
             },
             FaultEvent::RelocateList { .. } | FaultEvent::ListDown { .. } => {
@@ -344,7 +346,7 @@
             FaultEvent::IsolateZone { zone, .. } => format!("zone {zone}"),
             FaultEvent::Burst { .. } => "clients".into(),
             FaultEvent::OriginFails { part, .. } => {
-                format!("{} of the origin's calls", Percent(*part))
+                format!("{} of the calls to the origin", Percent(*part))
             }
             FaultEvent::OriginSlow { .. } => "the origin".into(),
             FaultEvent::HotKey { part, .. } | FaultEvent::Scan { part, .. } => {
@@ -353,53 +355,53 @@
             FaultEvent::DamageAnswers { lost, .. } => {
                 format!("{} of the answers", Percent(*lost))
             }
-            FaultEvent::MalformedTraffic { per_s, .. } => format!("{per_s} peers a second"),
+            FaultEvent::MalformedTraffic { per_s, .. } => format!("{per_s} peers per second"),
             FaultEvent::NoisyNeighbour { .. } => "neighbours".into(),
         }
     }
 
-    /// What happens to them, for messages.
+    /// What happens to the subject, for messages.
     fn predicate(&self) -> String {
         match self {
             FaultEvent::ReplaceServers { over, .. } => format!("are replaced within {over}"),
-            FaultEvent::KillNodes { back, .. } => format!("are killed, back after {back}"),
-            FaultEvent::PauseNodes { lasts, .. } => format!("are stopped for {lasts}"),
+            FaultEvent::KillNodes { back, .. } => format!("are killed, restart after {back}"),
+            FaultEvent::PauseNodes { lasts, .. } => format!("are paused for {lasts}"),
             FaultEvent::RestartNodes { over, .. } => format!("are restarted within {over}"),
             FaultEvent::RelocateList { .. } => "moves".into(),
-            FaultEvent::IsolateZone { lasts, .. } => format!("is cut off for {lasts}"),
-            FaultEvent::CrashServers { back, .. } => format!("die, back cold after {back}"),
+            FaultEvent::IsolateZone { lasts, .. } => format!("is partitioned for {lasts}"),
+            FaultEvent::CrashServers { back, .. } => format!("crash, restart cold after {back}"),
             FaultEvent::ListDown { lasts, .. } => format!("is down for {lasts}"),
             FaultEvent::Burst { factor, lasts, .. } => {
-                format!("ask {factor} times as often for {lasts}")
+                format!("send {factor} times as many requests for {lasts}")
             }
             FaultEvent::OriginFails { how, lasts, .. } => match how {
-                OriginFailure::Late => format!("fail after their work for {lasts}"),
-                OriginFailure::Early => format!("are turned away for {lasts}"),
+                OriginFailure::Late => format!("fail after processing for {lasts}"),
+                OriginFailure::Early => format!("are rejected for {lasts}"),
             },
             FaultEvent::OriginSlow { taken, lasts, .. } => {
-                format!("loses {} of its cores for {lasts}", Percent(*taken))
+                format!("has {} fewer cores for {lasts}", Percent(*taken))
             }
-            FaultEvent::HotKey { lasts, .. } => format!("ask for one key for {lasts}"),
-            FaultEvent::Scan { lasts, .. } => format!("go through all keys for {lasts}"),
+            FaultEvent::HotKey { lasts, .. } => format!("request the same key for {lasts}"),
+            FaultEvent::Scan { lasts, .. } => format!("scan all keys for {lasts}"),
             FaultEvent::DamageAnswers {
                 spoilt,
                 reset,
                 lasts,
                 ..
             } => {
-                let spoilt = Percent(*spoilt);
+                let corrupted = Percent(*spoilt);
                 let reset = Percent(*reset);
-                format!("are lost, {spoilt} spoilt, {reset} reset for {lasts}")
+                format!("are lost, {corrupted} corrupted, {reset} reset for {lasts}")
             }
             FaultEvent::MalformedTraffic { lasts, .. } => {
-                format!("send rubbish or nothing for {lasts}")
+                format!("send malformed input or nothing for {lasts}")
             }
             FaultEvent::NoisyNeighbour {
                 part, taken, lasts, ..
             } => {
                 let part = Percent(*part);
                 let taken = Percent(*taken);
-                format!("take {taken} of {part} of the cache servers for {lasts}")
+                format!("take {taken} of the capacity of {part} of the cache servers for {lasts}")
             }
             FaultEvent::SystemCalls {
                 calls,
@@ -417,7 +419,7 @@
                 let (rate, calls) = (Percent(*rate), join(calls));
                 format!("have {rate} of {calls} cut short for {lasts}")
             }
-            FaultEvent::StepClock { by_s, .. } => format!("step by {by_s:+} s"),
+            FaultEvent::StepClock { by_s, .. } => format!("stepped by {by_s:+} s"),
         }
     }
 }
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -1,6 +1,6 @@
-//! A scenario: the cluster, its load and the faults that are injected, read from a TOML file. `docs/TESTBED.md` has every
-//! key. This module holds the schema and its defaults; [`FaultEvent`] lists the faults, and a file is checked as a whole
-//! before it is run.
+//! A scenario: the cluster, its load and the faults that are injected, read from a TOML file. `docs/TESTBED.md`
+//! documents every key. This module defines the schema and its defaults, and [`FaultEvent`] defines the faults. A file
+//! is validated completely before it is run.
 
 mod fault_event;
 mod validation;
@@ -13,14 +13,14 @@
 
 pub use fault_event::{ClockOwner, FaultEvent, OriginFailure};
 
-/// After a node was told to end, the load balancer still sends it new requests for this long.
+/// The load balancer sends new requests to a node for this long after the node's graceful shutdown has begun.
 pub(crate) const DEREGISTRATION_DELAY: Duration = Duration::from_millis(300);
 
 /// A scenario.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// The file that this one is based on: keys that it does not set are as they are there.
+    /// The file that this one is based on. Keys that this file does not set have their values from there.
     #[serde(default, skip_serializing)]
     pub base: Option<PathBuf>,
     /// Seed of all random draws.
@@ -38,7 +38,7 @@
     /// Classes of requests.
     #[serde(rename = "class")]
     pub classes: Vec<RequestClass>,
-    /// Kinds of cache servers.
+    /// The kinds of cache server.
     #[serde(rename = "kind")]
     pub kinds: Vec<ServerKind>,
     /// The origin.
@@ -46,7 +46,7 @@
     /// The network.
     #[serde(default)]
     pub network: Network,
-    /// The load balancer before the nodes.
+    /// The load balancer in front of the nodes.
     #[serde(default, rename = "front")]
     pub load_balancer: LoadBalancer,
     /// The endpoint list service.
@@ -72,8 +72,7 @@
     Span(Duration::from_millis(milliseconds))
 }
 
-/// The workload of the clients. Clients do not wait for each other: requests arrive at their times whatever the answers
-/// (open loop).
+/// The workload of the clients. It is an open loop: arrival times do not depend on the answers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workload {
@@ -86,19 +85,20 @@
     pub zipf_exponent: f64,
     /// Size of a value in bytes.
     pub value_bytes: u64,
-    /// Attempts of a client after its first one.
+    /// Largest number of attempts of a client after its first one.
     #[serde(default)]
     pub retries: u32,
-    /// Pause before the first retry, doubled for each further one, unless the rejection names a time (Retry-After).
+    /// Backoff before the first retry, doubled for each further one, unless the rejection has a retry time
+    /// (Retry-After).
     #[serde(default = "default_backoff")]
     pub backoff: Span,
-    /// Popularity moves from key to key by this many ranks per second.
+    /// The popularity ranking shifts by this many keys per second.
     #[serde(default)]
     pub drift_per_s: f64,
-    /// This fraction of the clients goes away
+    /// Fraction of the clients that disconnect before their deadline, `abandon_after` after their first attempt.
     #[serde(default, rename = "give_up")]
     pub abandon_share: f64,
-    /// after this time, even if the deadline is later.
+    /// Time after which those clients disconnect.
     #[serde(default = "default_backoff", rename = "give_up_after")]
     pub abandon_after: Span,
 }
@@ -113,25 +113,25 @@
 pub struct RequestClass {
     /// Its name.
     pub name: String,
-    /// Fraction of the requests that it makes up.
+    /// Share of the class in all requests, relative to the sum of the shares of all classes.
     pub share: f64,
-    /// Mean work of an answer on a reference core.
+    /// Mean work per answer on a reference core.
     pub work: Span,
-    /// Standard deviation of that work over its mean; the work is log-normal.
+    /// Standard deviation of that work divided by its mean. The work is log-normally distributed.
     #[serde(default, rename = "spread")]
     pub work_deviation: f64,
-    /// Latency objective: a later answer counts for nothing.
+    /// Latency objective. A later answer does not count towards the service level.
     #[serde(rename = "aim")]
     pub latency_objective: Span,
-    /// Its clients wait this long over all attempts.
+    /// How long its clients wait, over all their attempts.
     pub deadline: Span,
-    /// Priority weight of an answer in time.
+    /// Priority weight of an answer within the latency objective.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// Whether it may run more than once.
+    /// Whether its requests may run more than once.
     #[serde(default, rename = "effect")]
     pub idempotency: Idempotency,
-    /// Whether it writes.
+    /// Whether its requests are writes.
     #[serde(default)]
     pub write: bool,
 }
@@ -143,7 +143,7 @@
     #[default]
     #[serde(rename = "pure")]
     Idempotent,
-    /// It carries an idempotency key: servers drop a duplicate within 2 s.
+    /// It carries an idempotency key: servers drop duplicates within 2 s.
     #[serde(rename = "keyed")]
     Deduplicated,
     /// It must not.
@@ -151,7 +151,7 @@
     NotIdempotent,
 }
 
-/// A kind of cache servers.
+/// A kind of cache server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServerKind {
@@ -163,20 +163,21 @@
     pub cores: f64,
     /// Speed of a core as a multiple of the reference core.
     pub speed: f64,
-    /// Requests that are worked on at once.
+    /// Largest number of requests that are processed concurrently.
     pub slots: usize,
-    /// Requests that may wait for a slot.
+    /// Largest number of requests that wait for a slot.
     #[serde(rename = "waiting")]
     pub queue_capacity: usize,
     /// Size of the memory in bytes.
     pub memory_bytes: u64,
-    /// Fraction of the full capacity right after a start.
+    /// Fraction of the full capacity that is available right after a start.
     #[serde(default = "default_cold_share")]
     pub cold_share: f64,
-    /// It is warm after this time at the latest.
+    /// Time after a start by which the server is warm at the latest.
     #[serde(default = "default_warm_up")]
     pub warm_up: Span,
-    /// Fraction of the work possible in `warm_up` that alone would make it warm; 0: it warms up by time alone.
+    /// Fraction of the work possible within `warm_up` that is enough to make the server warm. With 0 it warms up by
+    /// time alone.
     #[serde(default)]
     pub warm_by_work: f64,
 }
@@ -193,19 +194,19 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Origin {
-    /// Calls that are worked on at once.
+    /// Largest number of calls that are processed concurrently.
     pub slots: usize,
-    /// Calls that may wait for a slot.
+    /// Largest number of calls that wait for a slot.
     #[serde(rename = "waiting")]
     pub queue_capacity: usize,
-    /// Time that a call takes while no other is in flight.
+    /// Time that a call takes if no other is in flight.
     pub work: Span,
-    /// Calls that it works on at full speed.
+    /// Number of calls that are processed at full speed.
     pub cores: f64,
-    /// It collapses after rejecting calls for this long without a pause of half a second; 0s: never.
+    /// The origin collapses after it has rejected calls for this long without a pause of half a second; 0s: never.
     #[serde(default = "zero", rename = "fall_after")]
     pub collapse_after: Span,
-    /// After a collapse it is back after this time.
+    /// Time from a collapse until the origin is available again.
     #[serde(default = "default_recovery", rename = "back_after")]
     pub recovery: Span,
 }
@@ -222,7 +223,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LoadBalancer {
-    /// It notices after this time that a node has died; what it sends there until then fails.
+    /// Time until the load balancer notices that a node has died. The requests that it sends there until then fail.
     #[serde(rename = "notice")]
     pub detection_delay: Span,
 }
@@ -245,9 +246,9 @@
     /// Delay between zones.
     #[serde(rename = "cross")]
     pub cross_zone: Span,
-    /// Each message takes up to this fraction longer, at random.
+    /// Largest random addition to the delay of a message, as a fraction of the delay.
     pub jitter: f64,
-    /// Fraction of the messages from and to servers that is lost.
+    /// Fraction of the messages from and to servers that are lost.
     #[serde(rename = "lost")]
     pub loss: f64,
 }
@@ -270,10 +271,10 @@
     /// Time to handle one call.
     #[serde(rename = "call")]
     pub call_time: Span,
-    /// A change is known after this time.
+    /// Time until a change of a server is known to the service.
     #[serde(rename = "notice")]
     pub detection_delay: Span,
-    /// A call that waits longer fails.
+    /// A call fails if it waits for longer than this.
     pub timeout: Span,
 }
 
@@ -291,13 +292,14 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Invariants {
-    /// A server that warms up collapses when sent more than this multiple of its capacity
+    /// A server that is warming up collapses if it is sent more than this multiple of its capacity in any window of
+    /// length `collapse_window`, with an allowance for random variation that the model adds.
     #[serde(rename = "fall_multiple")]
     pub collapse_multiple: f64,
-    /// in any window of this length, with the room for chance that the model leaves.
+    /// Length of that window.
     #[serde(rename = "fall_after")]
     pub collapse_window: Span,
-    /// Attempts at a drained server must end within this time.
+    /// Nodes must have stopped sending attempts to a server within this time of the notice that it drains.
     pub drain_grace: Span,
 }
 
@@ -318,21 +320,21 @@
     /// Reads a scenario file.
     ///
     /// # Errors
-    /// If it can't be read or holds a value that is not possible. The error names file, line, and what to write.
+    /// If the file can't be read or has an invalid value. The error names the file, the line, and what to write
+    /// instead.
     pub fn read(path: &Path) -> Result<Scenario, ConfigError> {
         Scenario::read_with(path, &[])
     }
 
-    /// Reads a scenario file, and sets some keys in place of the file's: dotted keys, with values as they would stand in
-    /// the file.
+    /// Reads a scenario file and overrides some of its keys. Keys are dotted, and values are written as in the file.
     ///
     /// # Errors
     /// The same as for [`Scenario::read`].
     pub fn read_with(path: &Path, set: &[(String, String)]) -> Result<Scenario, ConfigError> {
-        router_config::read_toml(path, set, Scenario::impossible_value)
+        router_config::read_toml(path, set, Scenario::first_invalid_value)
     }
 
-    /// Number of cache servers at the beginning.
+    /// Number of cache servers at the beginning of a run.
     pub fn server_count(&self) -> u32 {
         self.kinds.iter().map(|kind| kind.servers).sum()
     }
--- a/crates/testbed/src/scenario/validation.rs
+++ b/crates/testbed/src/scenario/validation.rs
@@ -1,33 +1,34 @@
-//! Checks a scenario for values that have the right type and yet are not possible.
+//! Checks a scenario for values that have the right type but are invalid.
 
 use fault_plan::SystemCall;
 use router_config::Span;
 
 use super::{FaultEvent, Scenario};
 
-/// Largest number of nodes, for the memory of a run.
+/// Largest number of nodes; it bounds the memory of a run.
 const MAX_NODES: u32 = 2_000;
-/// Largest number of cache servers, for the memory of a run.
+/// Largest number of cache servers; it bounds the memory of a run.
 const MAX_SERVERS: u32 = 3_200;
-/// Largest number of requests, for the time of a run.
+/// Largest number of requests; it bounds the duration of a run.
 const MAX_REQUESTS: f64 = 50_000_000.0;
 /// Largest number of zones.
 const MAX_ZONES: u8 = 16;
 /// Largest number of malformed connections per second.
 const MAX_MALFORMED_PER_S: f64 = 1_000.0;
-/// Largest step of a wall clock, in seconds: a year.
+/// Largest step of a wall clock, in seconds: one year.
 const MAX_CLOCK_STEP_S: f64 = 31_536_000.0;
 
-/// A key with an impossible value, and what was found and what to write, as `router_config::read_toml` takes it.
+/// The key of an invalid value, and a text with the value found and what to write, as `router_config::read_toml`
+/// expects them. `None` if the value is valid.
 type Finding = Option<(String, String)>;
 
-fn found(key: &str, problem: String) -> Finding {
+fn invalid(key: &str, problem: String) -> Finding {
     Some((key.to_string(), problem))
 }
 
 fn check_positive(key: &str, value: f64) -> Finding {
     if value.is_nan() || value <= 0.0 {
-        return found(key, format!("found {value}: write more than 0"));
+        return invalid(key, format!("found {value}: write more than 0"));
     }
     None
 }
@@ -36,12 +37,12 @@
     if (0.0..=1.0).contains(&value) {
         return None;
     }
-    found(key, format!("found {value}: write a part, 0 to 1"))
+    invalid(key, format!("found {value}: write a part, 0 to 1"))
 }
 
 impl Scenario {
-    /// The first impossible value, if there is one.
-    pub(super) fn impossible_value(&self) -> Finding {
+    /// The first invalid value, if there is one.
+    pub(super) fn first_invalid_value(&self) -> Finding {
         self.check_sizes()
             .or_else(|| self.check_rates())
             .or_else(|| self.check_classes())
@@ -54,29 +55,30 @@
     fn check_sizes(&self) -> Finding {
         let nodes = self.nodes;
         if nodes == 0 || nodes > MAX_NODES {
-            return found("nodes", format!("found {nodes}: write 1 to {MAX_NODES}"));
+            return invalid("nodes", format!("found {nodes}: write 1 to {MAX_NODES}"));
         }
         let zones = self.zones;
         if zones == 0 || zones > MAX_ZONES {
-            return found("zones", format!("found {zones}: write 1 to {MAX_ZONES}"));
+            return invalid("zones", format!("found {zones}: write 1 to {MAX_ZONES}"));
         }
-        // Each count is bounded before the sum, which can't overflow then.
+        // Each count is capped before they are summed, so that the sum can't overflow.
         let counts = self.kinds.iter().map(|kind| kind.servers);
         let servers: u32 = counts.map(|count| count.min(MAX_SERVERS + 1)).sum();
         if servers == 0 || servers > MAX_SERVERS {
-            let problem = format!("there are {servers} servers: write 1 to {MAX_SERVERS} in all");
-            return found("kind", problem);
+            let problem = format!("there are {servers} servers: write 1 to {MAX_SERVERS} in total");
+            return invalid("kind", problem);
         }
         if self.classes.is_empty() {
-            return found("class", "there is none: write a [[class]]".into());
+            return invalid("class", "there is none: write a [[class]]".into());
         }
         if self.load.keys == 0 {
-            return found("load.keys", "found 0: write 1 or more".into());
+            return invalid("load.keys", "found 0: write 1 or more".into());
         }
         let requests = self.load.per_s * self.length.0.as_secs_f64();
         if requests > MAX_REQUESTS {
-            let problem = format!("{requests:.0} requests in all: write at most {MAX_REQUESTS:.0}");
-            return found("load.per_s", problem);
+            let problem =
+                format!("{requests:.0} requests in total: write at most {MAX_REQUESTS:.0}");
+            return invalid("load.per_s", problem);
         }
         None
     }
@@ -98,8 +100,8 @@
             let deadline = class.deadline;
             if deadline < objective {
                 let problem =
-                    format!("found {deadline}, which is before the aim: write {objective} or more");
-                return found(&format!("class.{index}.deadline"), problem);
+                    format!("found {deadline}, which is less than aim: write {objective} or more");
+                return invalid(&format!("class.{index}.deadline"), problem);
             }
             check_fraction(&format!("class.{index}.share"), class.share)
         })
@@ -193,14 +195,14 @@
             return None;
         }
         let problem = format!("found none: write one or more, such as [\"{example}\"]");
-        found(&self.key(name), problem)
+        invalid(&self.key(name), problem)
     }
 
     fn transfers(&self, calls: &[SystemCall]) -> Finding {
         let other = calls.iter().find(|call| !call.transfers_bytes())?;
         let problem =
             format!("found {other}, which transfers no bytes: write calls such as recv or send");
-        found(&self.key("calls"), problem)
+        invalid(&self.key("calls"), problem)
     }
 
     fn clock_step(&self, by_s: f64) -> Finding {
@@ -210,13 +212,13 @@
         let problem = format!(
             "found {by_s}: write seconds, {MAX_CLOCK_STEP_S} at most, negative to step back"
         );
-        found(&self.key("by_s"), problem)
+        invalid(&self.key("by_s"), problem)
     }
 
     fn malformed_rate(&self, per_s: f64) -> Finding {
         if per_s > MAX_MALFORMED_PER_S {
             let problem = format!("found {per_s}: write at most {MAX_MALFORMED_PER_S}");
-            return found(&self.key("per_s"), problem);
+            return invalid(&self.key("per_s"), problem);
         }
         self.positive("per_s", per_s)
     }
@@ -226,7 +228,7 @@
             return None;
         }
         let problem = format!("found {zone}: write 0 to {}", zones - 1);
-        found(&self.key("zone"), problem)
+        invalid(&self.key("zone"), problem)
     }
 
     fn time(&self, at: Span, length: Span) -> Finding {
@@ -234,6 +236,6 @@
             return None;
         }
         let problem = format!("found {at}, after the end: write at most {length}");
-        found(&self.key("at"), problem)
+        invalid(&self.key("at"), problem)
     }
 }
