--- a/crates/testbed/src/virtual_time/attempts.rs
+++ b/crates/testbed/src/virtual_time/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts on their way: from a node over the network to a cache server or the origin, and back with an outcome.
+//! Attempts in flight: from a node over the network to a cache server or the origin, and back with an outcome.
 
 use std::collections::BTreeMap;
 
@@ -17,18 +17,18 @@
 use crate::deployment::{self, MAX_ATTEMPTS, ORIGIN_WORK_DEVIATION};
 use crate::micros;
 
-/// An event of an attempt, which is named by its job.
+/// An event of an attempt, which is identified by its job.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum AttemptEvent {
-    /// It reaches its server.
+    /// The attempt reaches its server.
     ReachesServer { job: JobId },
-    /// Its outcome reaches its node.
+    /// The outcome of the attempt reaches its node.
     Outcome { job: JobId, status: AttemptStatus },
-    /// Its node stops waiting for it.
+    /// The node stops waiting for the attempt at the request's deadline.
     TimesOut { job: JobId },
 }
 
-/// Identifies an attempt at its node.
+/// Identifies an attempt by its node, its request and its number within the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptKey {
     node: NodeId,
@@ -37,7 +37,7 @@
 }
 
 impl AttemptKey {
-    /// The least key of a node.
+    /// The smallest key of a node.
     fn first_of(node: NodeId) -> AttemptKey {
         AttemptKey {
             node,
@@ -47,12 +47,12 @@
     }
 }
 
-/// An attempt without an outcome so far.
+/// An attempt without an outcome so far, whether it is on the network or at its server.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct InFlightAttempt {
     key: AttemptKey,
     pub(super) server: ServerId,
-    /// Id of the client whose request it serves.
+    /// Id of the client whose request the attempt serves.
     pub(super) client: u64,
 }
 
@@ -97,7 +97,7 @@
         self.jobs.get(&key).copied()
     }
 
-    /// The jobs of a node's attempts.
+    /// The jobs of the attempts that a node has in flight.
     pub(super) fn of_node(&self, node: NodeId) -> Vec<JobId> {
         let keys = AttemptKey::first_of(node)..AttemptKey::first_of(node + 1);
         self.jobs.range(keys).map(|(_, job)| *job).collect()
@@ -107,13 +107,13 @@
 impl Simulation<'_> {
     pub(super) fn handle_attempt_event(&mut self, event: AttemptEvent) {
         match event {
-            AttemptEvent::ReachesServer { job } => self.attempt_arrives(job),
-            AttemptEvent::Outcome { job, status } => self.outcome_arrives(job, status),
-            AttemptEvent::TimesOut { job } => self.attempt_times_out(job),
+            AttemptEvent::ReachesServer { job } => self.handle_attempt_arrival(job),
+            AttemptEvent::Outcome { job, status } => self.receive_outcome(job, status),
+            AttemptEvent::TimesOut { job } => self.handle_attempt_timeout(job),
         }
     }
 
-    /// A node's policy sends an attempt.
+    /// Sends an attempt as a node's policy has decided.
     pub(super) fn send_attempt(&mut self, node: NodeId, request: RequestId, server: ServerId) {
         let Some(open) = self.nodes[node].open.get_mut(&request) else {
             let request = (node, request);
@@ -137,7 +137,8 @@
             client,
         });
         if may_send || complete {
-            // The node holds back what its policy sends after the end, but the policy is at fault all the same.
+            // The node does not send attempts of a complete request, but a policy that decides so violates the
+            // invariant.
             self.invariants
                 .sent(self.now, (node, request), attempt, server);
         }
@@ -145,12 +146,12 @@
             return self.schedule_outcome(self.now, job, AttemptStatus::NotSent);
         }
         self.count_attempt(client, server);
-        self.put_on_the_way(job, node, server);
-        self.tell_deadline(node, request, server);
+        self.transmit(job, node, server);
+        self.record_sent_deadline(node, request, server);
         self.schedule(deadline, Event::Attempt(AttemptEvent::TimesOut { job }));
     }
 
-    fn put_on_the_way(&mut self, job: JobId, node: NodeId, server: ServerId) {
+    fn transmit(&mut self, job: JobId, node: NodeId, server: ServerId) {
         let zone = self.nodes[node].zone();
         let server_zone = self.zone_of(server, zone);
         let random = &mut self.random.network;
@@ -160,16 +161,16 @@
         }
     }
 
-    /// An attempt that is sent now tells its cache server how much time is left.
-    fn tell_deadline(&mut self, node: NodeId, request: RequestId, server: ServerId) {
+    /// Records for the invariants the remaining time that an attempt, sent now, states to its cache server.
+    fn record_sent_deadline(&mut self, node: NodeId, request: RequestId, server: ServerId) {
         let Some(open) = self.nodes[node].open.get(&request) else {
             return;
         };
         if server == ORIGIN {
             return;
         }
-        let remaining = if self.has_defect(Defect::TellsWholeDeadline) {
-            open.whole_time
+        let remaining = if self.has_defect(Defect::SendsOriginalDeadline) {
+            open.initial_remaining
         } else {
             open.deadline.saturating_sub(self.now)
         };
@@ -185,33 +186,33 @@
         self.count(client, |counts| counts.attempts += 1);
     }
 
-    /// The zone of a server. The origin is in every zone, so that its zone is that of the node.
+    /// The zone of a server. The origin is in every zone, so its zone is that of the node.
     fn zone_of(&self, server: ServerId, node_zone: Zone) -> Zone {
         self.servers
             .get(&server)
             .map_or(node_zone, |server| server.zone)
     }
 
-    fn attempt_arrives(&mut self, job: JobId) {
+    fn handle_attempt_arrival(&mut self, job: JobId) {
         let Some(attempt) = self.attempts.get(job) else {
             return;
         };
-        // If the client has gone, nobody knows the work; the node gives the attempt up by itself.
+        // Once the client has gone, the work is not known any more. The node cancels the attempt or lets it time out.
         let Some(client) = self.clients.get(attempt.client) else {
             return;
         };
         if attempt.server == ORIGIN {
-            return self.arrive_at_origin(job);
+            return self.submit_to_origin(job);
         }
         let lookup = Lookup {
             key: client.key,
             work: client.work,
             informed: self.is_informed(attempt.node(), attempt.server),
         };
-        self.arrive_at_cache_server(job, attempt, lookup);
+        self.submit_to_cache_server(job, attempt, lookup);
     }
 
-    /// Whether a node knows, or should know by now, when a server last started.
+    /// Whether a node has been notified of a server's latest start, or should have been by now.
     fn is_informed(&self, node: NodeId, server: ServerId) -> bool {
         let started = self
             .servers
@@ -224,7 +225,7 @@
         notified || self.invariants.start_counts_as_notified(self.now, server)
     }
 
-    fn arrive_at_origin(&mut self, job: JobId) {
+    fn submit_to_origin(&mut self, job: JobId) {
         let random = &mut self.random.work;
         let mean_work = micros(self.scenario.origin.work) as f64;
         let work = mean_work * log_normal_factor(ORIGIN_WORK_DEVIATION, random);
@@ -239,7 +240,7 @@
         }
     }
 
-    fn arrive_at_cache_server(&mut self, job: JobId, attempt: InFlightAttempt, lookup: Lookup) {
+    fn submit_to_cache_server(&mut self, job: JobId, attempt: InFlightAttempt, lookup: Lookup) {
         let Some(server) = self.servers.get_mut(&attempt.server) else {
             return self.send_outcome(job, AttemptStatus::ConnectFailed);
         };
@@ -257,20 +258,20 @@
                     self.invariants.collapsed(attempt.server, collapse);
                 }
                 self.reset_attempts(lost, job);
-                self.server_is_gone(attempt.server);
+                self.report_server_removed(attempt.server);
             }
         }
         self.schedule_cache_server(attempt.server);
     }
 
-    /// The connections of the lost attempts are reset, and that of the attempt that just arrived.
+    /// Resets the connections of the lost attempts and of the attempt that has just arrived.
     fn reset_attempts(&mut self, lost: Vec<JobId>, arrived: JobId) {
         for job in lost.into_iter().chain([arrived]) {
             self.send_outcome(job, AttemptStatus::Reset);
         }
     }
 
-    /// A server sends an answer, which the network may lose or damage.
+    /// Sends a server's answer to the node. The network may lose or damage it.
     pub(super) fn send_outcome(&mut self, job: JobId, status: AttemptStatus) {
         let Some(attempt) = self.attempts.get(job) else {
             return;
@@ -285,7 +286,7 @@
         let received = match delivery {
             Delivery::Lost => return,
             Delivery::Complete => status,
-            // A node closes a connection that brings malformed bytes, which is the same to its policy.
+            // A node closes a connection on which it receives malformed bytes. Its policy sees a reset in both cases.
             Delivery::Corrupted | Delivery::Reset => AttemptStatus::Reset,
         };
         self.schedule_outcome(self.now + delay, job, received);
@@ -296,8 +297,8 @@
         self.schedule(at, Event::Attempt(outcome));
     }
 
-    /// An attempt's outcome reaches its node. While that is paused, it waits.
-    pub(super) fn outcome_arrives(&mut self, job: JobId, status: AttemptStatus) {
+    /// Passes an attempt's outcome to its node. It is deferred while the node is paused.
+    pub(super) fn receive_outcome(&mut self, job: JobId, status: AttemptStatus) {
         let node = self.attempts.get(job).map(|attempt| attempt.node());
         if let Some(node) = node.filter(|node| self.nodes[*node].is_paused()) {
             let outcome = DeferredOutcome { job, status };
@@ -331,17 +332,17 @@
         }
         let outcome = deployment::attempt_outcome(request, attempt, server, status, complete);
         self.notify_policy(node, PolicyEvent::AttemptOutcome(outcome));
-        self.forget_if_over(node, request);
+        self.forget_if_finished(node, request);
     }
 
-    fn attempt_times_out(&mut self, job: JobId) {
+    fn handle_attempt_timeout(&mut self, job: JobId) {
         if self.attempts.get(job).is_some() {
             self.cancel_at_server(job);
-            self.outcome_arrives(job, AttemptStatus::TimedOut);
+            self.receive_outcome(job, AttemptStatus::TimedOut);
         }
     }
 
-    /// A node's policy cancels an attempt.
+    /// Cancels an attempt as a node's policy has decided.
     pub(super) fn cancel_attempt(&mut self, node: NodeId, request: RequestId, attempt: u16) {
         let key = AttemptKey {
             node,
@@ -350,12 +351,12 @@
         };
         if let Some(job) = self.attempts.find(key) {
             self.cancel_at_server(job);
-            // The policy is notified by an event of its own, after the one that it handles now.
+            // The policy is notified by a separate event, after the one that it is handling.
             self.schedule_outcome(self.now, job, AttemptStatus::Cancelled);
         }
     }
 
-    /// The server of an attempt notices that nobody waits for it.
+    /// Cancels an attempt at its cache server; the origin does not notice.
     pub(super) fn cancel_at_server(&mut self, job: JobId) {
         let Some(attempt) = self.attempts.get(job) else {
             return;
--- a/crates/testbed/src/virtual_time/clients.rs
+++ b/crates/testbed/src/virtual_time/clients.rs
@@ -1,4 +1,4 @@
-//! The clients' side: requests arrive, the load balancer gives each attempt to a node, and replies come back.
+//! The client side: requests arrive, the load balancer assigns each attempt to a node, and replies return.
 
 use cluster_model::Micros;
 use cluster_model::endpoint_list::NodeId;
@@ -10,17 +10,17 @@
 use crate::clients::{Assignment, Client, Reply};
 use crate::deployment;
 
-/// Delay between a client and a node, one way, in microseconds.
+/// One-way delay between a client and a node, in microseconds.
 pub(super) const CLIENT_DELAY: Micros = 300;
 
-/// An event at a client. Clients are named by their ids.
+/// An event at a client. Clients are identified by their ids.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum ClientEvent {
     /// A new request arrives.
     Arrival,
     /// A client retries.
     Retry { client: u64 },
-    /// A client goes away, at its deadline or before.
+    /// A client stops waiting, at its deadline or before.
     Leave { client: u64 },
     /// A reply reaches a client.
     Reply { client: u64, reply: Reply },
@@ -29,10 +29,10 @@
 impl Simulation<'_> {
     pub(super) fn handle_client_event(&mut self, event: ClientEvent) {
         match event {
-            ClientEvent::Arrival => self.request_arrives(),
+            ClientEvent::Arrival => self.handle_request_arrival(),
             ClientEvent::Retry { client } => self.begin_attempt(client),
-            ClientEvent::Leave { client } => self.client_leaves(client),
-            ClientEvent::Reply { client, reply } => self.reply_arrives(client, reply),
+            ClientEvent::Leave { client } => self.handle_client_leave(client),
+            ClientEvent::Reply { client, reply } => self.handle_reply_arrival(client, reply),
         }
     }
 
@@ -42,7 +42,7 @@
         }
     }
 
-    fn request_arrives(&mut self) {
+    fn handle_request_arrival(&mut self) {
         self.schedule_next_arrival();
         let id = self.clients.new_client(self.now);
         let leaves_at = self
@@ -65,7 +65,7 @@
         }
         let node = nodes[self.random.load_balancer.random_range(0..nodes.len())];
         if !self.nodes[node].is_running() {
-            // The connection is refused: the refusal takes a round trip.
+            // The connection is refused, which takes a round trip.
             return self.schedule_reply(2 * CLIENT_DELAY, id, Reply::Failed);
         }
         self.accept_request(node, id, &client);
@@ -73,7 +73,7 @@
 
     /// A node accepts the request of a client's attempt.
     fn accept_request(&mut self, node: NodeId, client_id: u64, client: &Client) {
-        // The way to the node takes some of the time that it is told.
+        // The remaining time that the node receives is reduced by the delay on the way to it.
         let remaining = client.deadline.saturating_sub(self.now + CLIENT_DELAY);
         let deadline = self.now + remaining;
         let id = self.nodes[node].open_request(OpenRequest::new(client_id, deadline, remaining));
@@ -91,21 +91,21 @@
         self.notify_policy(node, PolicyEvent::Request(request));
     }
 
-    /// A reply reaches a client after a delay.
+    /// Schedules a reply to reach a client after a delay.
     pub(super) fn schedule_reply(&mut self, delay: Micros, client: u64, reply: Reply) {
         let reply = ClientEvent::Reply { client, reply };
         self.schedule(self.now + delay, Event::Client(reply));
     }
 
-    fn reply_arrives(&mut self, client: u64, reply: Reply) {
+    fn handle_reply_arrival(&mut self, client: u64, reply: Reply) {
         if let Some(retry_at) = self.clients.notified(self.now, client, reply) {
             self.schedule(retry_at, Event::Client(ClientEvent::Retry { client }));
         }
     }
 
-    /// A client goes away. One whose time is over keeps its connection, and is owed the answer even so. One that goes
-    /// before closes it: it is owed nothing any more, and its node notices.
-    fn client_leaves(&mut self, id: u64) {
+    /// A client stops waiting. A client that reaches its deadline keeps its connection open, and the node still has to
+    /// answer. A client that leaves earlier closes its connection: the node notices and does not have to answer.
+    fn handle_client_leave(&mut self, id: u64) {
         let closes = self
             .clients
             .get(id)
@@ -114,11 +114,11 @@
             return;
         };
         if closes {
-            self.client_closes(node, request);
+            self.close_client_connection(node, request);
         }
     }
 
-    fn client_closes(&mut self, node: NodeId, request: RequestId) {
+    fn close_client_connection(&mut self, node: NodeId, request: RequestId) {
         self.invariants.client_gone(self.now, (node, request));
         if self.has_defect(Defect::IgnoresClosedClients) {
             return;
@@ -128,7 +128,7 @@
         {
             open.complete = true;
             self.notify_policy(node, PolicyEvent::ClientGone(request));
-            self.forget_if_over(node, request);
+            self.forget_if_finished(node, request);
         }
     }
 }
--- a/crates/testbed/src/virtual_time/discovery.rs
+++ b/crates/testbed/src/virtual_time/discovery.rs
@@ -1,4 +1,4 @@
-//! Endpoint discovery: changes of servers become known, the endpoint list publishes them, and nodes are notified.
+//! Endpoint discovery: the endpoint list service detects and publishes changes of servers, and notifies nodes of them.
 
 use cluster_model::Micros;
 use cluster_model::endpoint_list::{
@@ -13,28 +13,28 @@
 
 /// An event of the endpoint list service.
 pub(super) enum DiscoveryEvent {
-    /// Calls may be handled.
-    ListDue,
-    /// A response reaches a node, unless that has another incarnation by then.
+    /// The service may be able to handle calls.
+    CallsDue,
+    /// A response reaches a node. It is ignored if the node's incarnation has changed in the meantime.
     Response {
         node: NodeId,
         incarnation: u32,
         response: ListResponse,
     },
-    /// A change of a server becomes known.
-    Known(EndpointRecord),
-    /// The service is back.
-    ListRestored,
+    /// The service detects a change of a server.
+    ChangeDetected(EndpointRecord),
+    /// The service is available again.
+    ServiceRestored,
 }
 
 impl Simulation<'_> {
     pub(super) fn handle_discovery_event(&mut self, event: DiscoveryEvent) {
         match event {
-            DiscoveryEvent::ListDue => {
+            DiscoveryEvent::CallsDue => {
                 for NodeResponse { node, response } in self.list.process(self.now) {
                     self.schedule_list_response(self.now, node, response);
                 }
-                self.schedule_list();
+                self.schedule_list_calls();
             }
             DiscoveryEvent::Response {
                 node,
@@ -42,30 +42,30 @@
                 response,
             } => {
                 if self.is_current(node, incarnation) {
-                    self.list_response_arrives(node, response);
+                    self.handle_list_response(node, response);
                 }
             }
-            DiscoveryEvent::Known(record) => self.change_is_known(record),
-            DiscoveryEvent::ListRestored => {
-                // While the service is down it has neither watches nor calls that could fail.
+            DiscoveryEvent::ChangeDetected(record) => self.publish_change(record),
+            DiscoveryEvent::ServiceRestored => {
+                // While the service is down it has no watches and no calls, so none can fail.
                 let _ = self.list.set_available(self.now, true);
                 self.invariants.discovery_reachable(self.now, true);
             }
         }
     }
 
-    /// A node calls the service.
+    /// Makes a node's call to the service.
     pub(super) fn call_list(&mut self, node: NodeId, call: ListCall) {
         if let Some(response) = self.list.call(self.now, node, call) {
-            // Not at once: even a refused connection takes some time.
+            // The response is delayed, because even a refused connection takes some time.
             self.schedule_list_response(self.now + CLIENT_DELAY, node, response);
         }
-        self.schedule_list();
+        self.schedule_list_calls();
     }
 
-    fn schedule_list(&mut self) {
+    fn schedule_list_calls(&mut self) {
         if let Some(at) = self.list.next_event_at() {
-            self.schedule(at, Event::Discovery(DiscoveryEvent::ListDue));
+            self.schedule(at, Event::Discovery(DiscoveryEvent::CallsDue));
         }
     }
 
@@ -83,7 +83,7 @@
         self.schedule(at, Event::Discovery(response));
     }
 
-    fn list_response_arrives(&mut self, node: NodeId, response: ListResponse) {
+    fn handle_list_response(&mut self, node: NodeId, response: ListResponse) {
         if self.has_defect(Defect::IgnoresEndpointList) {
             return;
         }
@@ -95,17 +95,17 @@
         else {
             return self.notify_of_endpoints(node, ListUpdate::Failed, Vec::new());
         };
-        let its = &mut self.nodes[node];
-        if !complete && version < its.list_version {
+        let state = &mut self.nodes[node];
+        if !complete && version < state.list_version {
             return;
         }
-        its.list_version = version;
+        state.list_version = version;
         if complete {
             self.drop_missing_endpoints(node, &records);
         }
         for record in &records {
             self.nodes[node].endpoints.insert(record.server, *record);
-            self.record_notice(node, record);
+            self.record_notification(node, record);
         }
         let update = if complete {
             ListUpdate::Full
@@ -116,8 +116,8 @@
         self.notify_of_endpoints(node, update, endpoints);
     }
 
-    /// A node empties its copy of the list before a complete one. It is notified that the servers which are not in that
-    /// are gone.
+    /// Clears a node's copy of the list before a complete list is stored. Records for the invariants that the node is
+    /// notified of the removal of the servers that are missing from the complete list.
     fn drop_missing_endpoints(&mut self, node: NodeId, complete: &[EndpointRecord]) {
         let previous = std::mem::take(&mut self.nodes[node].endpoints);
         for server in previous.into_keys() {
@@ -127,8 +127,8 @@
         }
     }
 
-    /// Records for the invariants that a node is notified of a server's condition.
-    fn record_notice(&mut self, node: NodeId, record: &EndpointRecord) {
+    /// Records for the invariants that a node has been notified of a server's condition.
+    fn record_notification(&mut self, node: NodeId, record: &EndpointRecord) {
         let ready = record.condition == Condition::Ready;
         self.invariants
             .notified(self.now, node, record.server, ready);
@@ -139,17 +139,17 @@
         self.notify_policy(node, event);
     }
 
-    /// A node that starts begins with its own copy of the list.
+    /// Loads a node's own copy of the list into its policy when the node starts.
     pub(super) fn load_cached_endpoints(&mut self, node: NodeId) {
         let records: Vec<_> = self.nodes[node].endpoints.values().copied().collect();
         for record in &records {
-            self.record_notice(node, record);
+            self.record_notification(node, record);
         }
         let endpoints = self.endpoints(&records);
         self.notify_of_endpoints(node, ListUpdate::Cached, endpoints);
     }
 
-    /// The servers of a list, and the origin, as a policy knows them.
+    /// The servers of a list and the origin, in the form that a policy receives.
     pub(super) fn endpoints(&self, records: &[EndpointRecord]) -> Vec<Endpoint> {
         let endpoint = |record: &EndpointRecord| {
             let server = self.servers.get(&record.server);
@@ -174,8 +174,8 @@
         records.iter().map(endpoint).chain([origin]).collect()
     }
 
-    /// A server's condition changes, which becomes known some time later.
-    pub(super) fn condition_changes(
+    /// Schedules the detection of a change of a server's condition.
+    pub(super) fn report_condition_change(
         &mut self,
         server: ServerId,
         condition: Condition,
@@ -187,15 +187,15 @@
             started,
         };
         let delay = micros(self.scenario.endpoint_list.detection_delay);
-        let known = DiscoveryEvent::Known(record);
-        self.schedule(self.now + delay, Event::Discovery(known));
+        let detected = DiscoveryEvent::ChangeDetected(record);
+        self.schedule(self.now + delay, Event::Discovery(detected));
     }
 
-    pub(super) fn server_is_gone(&mut self, server: ServerId) {
-        self.condition_changes(server, Condition::Removed, 0);
+    pub(super) fn report_server_removed(&mut self, server: ServerId) {
+        self.report_condition_change(server, Condition::Removed, 0);
     }
 
-    fn change_is_known(&mut self, record: EndpointRecord) {
+    fn publish_change(&mut self, record: EndpointRecord) {
         let ready = record.condition == Condition::Ready;
         self.invariants
             .readiness_known(self.now, record.server, ready);
--- a/crates/testbed/src/virtual_time/faults.rs
+++ b/crates/testbed/src/virtual_time/faults.rs
@@ -1,4 +1,4 @@
-//! Fault injection: the faults of the scenario begin, and those that last end.
+//! Fault injection: begins the faults of the scenario, and ends those that have a duration.
 
 use cluster_model::endpoint_list::{NodeId, NodeResponse};
 use cluster_model::network::{AnswerFaults, Zone};
@@ -22,30 +22,30 @@
     End(FaultEnd),
 }
 
-/// The end of a fault that lasts.
+/// The end of a fault that has a duration.
 pub(super) enum FaultEnd {
     /// A zone is connected to the others again.
     ZoneIsolation { zone: Zone },
     /// Clients send requests at the usual rate again.
     Burst { factor: f64 },
-    /// A neighbour leaves a machine alone.
+    /// A noisy neighbour stops using capacity of a machine.
     NoisyNeighbour { server: ServerId },
     /// Calls to the origin succeed again.
     OriginFailure,
-    /// The origin has all its cores again.
+    /// The origin has all of its cores again.
     OriginSlowness,
     /// Answers arrive intact again.
     AnswerDamage,
-    /// A part of the requests leaves the hot key.
-    HotKey { part: f64 },
-    /// A part of the requests stops scanning.
-    Scan { part: f64 },
+    /// A fraction of the requests no longer asks for the hot key.
+    HotKey { fraction: f64 },
+    /// A fraction of the requests stops scanning.
+    Scan { fraction: f64 },
 }
 
-/// Picks a part of the candidates at random.
-fn pick<T>(mut candidates: Vec<T>, part: f64, random: &mut RandomStream) -> Vec<T> {
+/// Picks a fraction of the candidates at random.
+fn pick<T>(mut candidates: Vec<T>, fraction: f64, random: &mut RandomStream) -> Vec<T> {
     candidates.shuffle(random);
-    candidates.truncate((candidates.len() as f64 * part).round() as usize);
+    candidates.truncate((candidates.len() as f64 * fraction).round() as usize);
     candidates
 }
 
@@ -78,9 +78,9 @@
         }
     }
 
-    fn schedule_end(&mut self, lasts: Span, end: FaultEnd) {
+    fn schedule_end(&mut self, duration: Span, end: FaultEnd) {
         let end = InjectionEvent::End(end);
-        self.schedule(self.now + micros(lasts), Event::Injection(end));
+        self.schedule(self.now + micros(duration), Event::Injection(end));
     }
 
     fn begin_fault(&mut self, fault: &FaultEvent) {
@@ -120,7 +120,7 @@
                 };
                 self.damage_answers(faults, lasts);
             }
-            // No policy sees malformed commands or makes system calls, and there is one clock.
+            // Policies see no malformed commands and make no system calls, and there is only one clock.
             FaultEvent::MalformedTraffic { .. }
             | FaultEvent::SystemCalls { .. }
             | FaultEvent::ShortCounts { .. }
@@ -139,30 +139,30 @@
                 self.schedule_origin();
             }
             FaultEnd::AnswerDamage => self.network.set_answer_faults(AnswerFaults::default()),
-            FaultEnd::HotKey { part } => self.clients.adjust_hot_share(-part),
-            FaultEnd::Scan { part } => self.clients.adjust_scan_share(-part),
+            FaultEnd::HotKey { fraction } => self.clients.adjust_hot_share(-fraction),
+            FaultEnd::Scan { fraction } => self.clients.adjust_scan_share(-fraction),
         }
     }
 
-    /// A part of the nodes, picked at random.
-    fn pick_nodes(&mut self, part: f64) -> Vec<NodeId> {
-        pick(self.nodes.ids(), part, &mut self.random.faults)
+    /// A fraction of the nodes, picked at random.
+    fn pick_nodes(&mut self, fraction: f64) -> Vec<NodeId> {
+        pick(self.nodes.ids(), fraction, &mut self.random.faults)
     }
 
-    /// A part of the servers that run, picked at random.
-    fn pick_servers(&mut self, part: f64) -> Vec<ServerId> {
+    /// A fraction of the running servers, picked at random.
+    fn pick_servers(&mut self, fraction: f64) -> Vec<ServerId> {
         let running = self
             .servers
             .iter()
             .filter(|(_, server)| server.cache.is_running())
             .map(|(id, _)| *id)
             .collect();
-        pick(running, part, &mut self.random.faults)
+        pick(running, fraction, &mut self.random.faults)
     }
 
-    fn replace_servers(&mut self, part: f64, over: Micros, drain: Micros) {
-        let servers = self.pick_servers(part);
-        let times = EvenlySpread::new(self.now, over, servers.len());
+    fn replace_servers(&mut self, fraction: f64, period: Micros, drain: Micros) {
+        let servers = self.pick_servers(fraction);
+        let times = EvenlySpread::new(self.now, period, servers.len());
         for (index, server) in servers.into_iter().enumerate() {
             let at = times.time(index);
             self.schedule(at, Event::Server(ServerEvent::Drain { server }));
@@ -173,32 +173,38 @@
         }
     }
 
-    fn crash_servers(&mut self, part: f64, back: Micros) {
-        for server in self.pick_servers(part) {
+    fn crash_servers(&mut self, fraction: f64, restart_after: Micros) {
+        for server in self.pick_servers(fraction) {
             self.stop_server(server);
             let start = ServerEvent::Start { server };
-            self.schedule(self.now + back, Event::Server(start));
+            self.schedule(self.now + restart_after, Event::Server(start));
         }
     }
 
-    fn kill_nodes(&mut self, part: f64, back: Micros) {
-        for node in self.pick_nodes(part) {
+    fn kill_nodes(&mut self, fraction: f64, restart_after: Micros) {
+        for node in self.pick_nodes(fraction) {
             self.kill_node(node);
-            self.schedule(self.now + back, Event::Node(NodeEvent::Start { node }));
+            self.schedule(
+                self.now + restart_after,
+                Event::Node(NodeEvent::Start { node }),
+            );
         }
     }
 
-    fn pause_nodes(&mut self, part: f64, lasts: Micros) {
-        for node in self.pick_nodes(part) {
+    fn pause_nodes(&mut self, fraction: f64, duration: Micros) {
+        for node in self.pick_nodes(fraction) {
             self.nodes[node].pause();
             self.invariants.paused(self.now, node);
-            self.schedule(self.now + lasts, Event::Node(NodeEvent::PauseEnds { node }));
+            self.schedule(
+                self.now + duration,
+                Event::Node(NodeEvent::PauseEnds { node }),
+            );
         }
     }
 
-    fn restart_nodes(&mut self, part: f64, over: Micros) {
-        let nodes = self.pick_nodes(part);
-        let times = EvenlySpread::new(self.now, over, nodes.len());
+    fn restart_nodes(&mut self, fraction: f64, period: Micros) {
+        let nodes = self.pick_nodes(fraction);
+        let times = EvenlySpread::new(self.now, period, nodes.len());
         for (index, node) in nodes.into_iter().enumerate() {
             let restart = NodeEvent::Restart { node };
             self.schedule(times.time(index), Event::Node(restart));
@@ -214,18 +220,18 @@
         }
     }
 
-    fn stop_list(&mut self, lasts: Micros) {
+    fn stop_list(&mut self, duration: Micros) {
         self.invariants.discovery_reachable(self.now, false);
         for NodeResponse { node, response } in self.list.set_available(self.now, false) {
             self.schedule_list_response(self.now, node, response);
         }
-        let restored = DiscoveryEvent::ListRestored;
-        self.schedule(self.now + lasts, Event::Discovery(restored));
+        let restored = DiscoveryEvent::ServiceRestored;
+        self.schedule(self.now + duration, Event::Discovery(restored));
     }
 
-    fn isolate_zone(&mut self, zone: Zone, lasts: Span) {
+    fn isolate_zone(&mut self, zone: Zone, duration: Span) {
         self.set_zone_isolated(zone, true);
-        self.schedule_end(lasts, FaultEnd::ZoneIsolation { zone });
+        self.schedule_end(duration, FaultEnd::ZoneIsolation { zone });
     }
 
     fn set_zone_isolated(&mut self, zone: Zone, isolated: bool) {
@@ -233,41 +239,42 @@
             .set_isolated(zone, self.scenario.zones, isolated);
     }
 
-    fn add_noisy_neighbours(&mut self, part: f64, taken: f64, lasts: Span) {
-        for server in self.pick_servers(part) {
-            self.set_stolen_share(server, taken);
-            self.schedule_end(lasts, FaultEnd::NoisyNeighbour { server });
+    fn add_noisy_neighbours(&mut self, fraction: f64, stolen_share: f64, duration: Span) {
+        for server in self.pick_servers(fraction) {
+            self.set_stolen_share(server, stolen_share);
+            self.schedule_end(duration, FaultEnd::NoisyNeighbour { server });
         }
     }
 
-    fn begin_burst(&mut self, factor: f64, lasts: Span) {
+    fn begin_burst(&mut self, factor: f64, duration: Span) {
         self.clients.scale_rate(factor);
-        self.schedule_end(lasts, FaultEnd::Burst { factor });
+        self.schedule_end(duration, FaultEnd::Burst { factor });
     }
 
-    fn begin_hot_key(&mut self, part: f64, lasts: Span) {
-        self.clients.adjust_hot_share(part);
-        self.schedule_end(lasts, FaultEnd::HotKey { part });
+    fn begin_hot_key(&mut self, fraction: f64, duration: Span) {
+        self.clients.adjust_hot_share(fraction);
+        self.schedule_end(duration, FaultEnd::HotKey { fraction });
     }
 
-    fn begin_scan(&mut self, part: f64, lasts: Span) {
-        self.clients.adjust_scan_share(part);
-        self.schedule_end(lasts, FaultEnd::Scan { part });
+    fn begin_scan(&mut self, fraction: f64, duration: Span) {
+        self.clients.adjust_scan_share(fraction);
+        self.schedule_end(duration, FaultEnd::Scan { fraction });
     }
 
-    fn fail_origin(&mut self, part: f64, how: OriginFailure, lasts: Span) {
-        self.origin.set_fault(Some(deployment::fault(how, part)));
-        self.schedule_end(lasts, FaultEnd::OriginFailure);
+    fn fail_origin(&mut self, fraction: f64, how: OriginFailure, duration: Span) {
+        self.origin
+            .set_fault(Some(deployment::fault(how, fraction)));
+        self.schedule_end(duration, FaultEnd::OriginFailure);
     }
 
-    fn slow_origin(&mut self, taken: f64, lasts: Span) {
-        self.origin.set_stolen_share(self.now, taken);
+    fn slow_origin(&mut self, stolen_share: f64, duration: Span) {
+        self.origin.set_stolen_share(self.now, stolen_share);
         self.schedule_origin();
-        self.schedule_end(lasts, FaultEnd::OriginSlowness);
+        self.schedule_end(duration, FaultEnd::OriginSlowness);
     }
 
-    fn damage_answers(&mut self, faults: AnswerFaults, lasts: Span) {
+    fn damage_answers(&mut self, faults: AnswerFaults, duration: Span) {
         self.network.set_answer_faults(faults);
-        self.schedule_end(lasts, FaultEnd::AnswerDamage);
+        self.schedule_end(duration, FaultEnd::AnswerDamage);
     }
 }
--- a/crates/testbed/src/virtual_time/lifecycle.rs
+++ b/crates/testbed/src/virtual_time/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of the nodes: they start, are paused, killed, and shut down gracefully to restart.
+//! The lifecycle of the nodes: start, pause, kill, and graceful shutdown with a restart.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,14 +14,14 @@
 use crate::scenario::DEREGISTRATION_DELAY;
 use crate::{deployment, micros};
 
-/// Time that a node leaves itself for its last answers before the platform may kill it, in microseconds.
-const FINAL_ANSWER_TIME: Micros = 100_000;
-/// How often it is checked whether a node that shuts down has answered all requests, in microseconds.
-const SHUTDOWN_CHECK: Micros = 10_000;
-/// Time that a process takes to start, in microseconds.
-const PROCESS_START: Micros = 50_000;
+/// Time that a node reserves for its last answers before the platform may kill it, in microseconds.
+const FINAL_ANSWERS_TIME: Micros = 100_000;
+/// Interval of the check whether a node that is shutting down has answered all requests, in microseconds.
+const SHUTDOWN_CHECK_INTERVAL: Micros = 10_000;
+/// Start-up time of a process, in microseconds.
+const PROCESS_START_TIME: Micros = 50_000;
 
-/// An event of a node's life. One that names an incarnation is void in any other.
+/// A lifecycle event of a node. An event with an incarnation is ignored in any other incarnation.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum NodeEvent {
     /// A timer of the policy fires.
@@ -32,11 +32,11 @@
     },
     /// A pause of a node ends.
     PauseEnds { node: NodeId },
-    /// A node is told to shut down and restart.
+    /// A node is asked to shut down and is then started again.
     Restart { node: NodeId },
-    /// The load balancer stops sending requests to a node that shuts down.
+    /// The load balancer stops sending requests to a node that is shutting down.
     Deregister { node: NodeId, incarnation: u32 },
-    /// It is checked whether a node that shuts down has answered all requests.
+    /// Time to check whether a node that is shutting down has answered all requests.
     CheckShutdown { node: NodeId, incarnation: u32 },
     /// A node's process starts again.
     Start { node: NodeId },
@@ -44,7 +44,7 @@
     DeathDetected { node: NodeId, incarnation: u32 },
 }
 
-/// The request whose client has gone by an event.
+/// The request whose client has gone, if that is what an event reports.
 fn gone_request(event: &PolicyEvent) -> Option<RequestId> {
     match event {
         PolicyEvent::ClientGone(request) => Some(*request),
@@ -52,7 +52,7 @@
     }
 }
 
-/// Whether an event may forbid attempts that others would lead to.
+/// Whether an event may rule out attempts that later events would otherwise cause.
 fn revokes_attempts(event: &PolicyEvent) -> bool {
     matches!(
         event,
@@ -87,15 +87,15 @@
             }
             NodeEvent::Start { node } => self.restart_node(node),
             NodeEvent::DeathDetected { node, incarnation } => {
-                let its = &self.nodes[node];
-                if !its.is_running() && its.incarnation() == incarnation {
+                let state = &self.nodes[node];
+                if !state.is_running() && state.incarnation() == incarnation {
                     self.load_balancer.deregister(node);
                 }
             }
         }
     }
 
-    /// Whether a node runs in an incarnation.
+    /// Whether a node is running and has this incarnation.
     pub(super) fn is_current(&self, node: NodeId, incarnation: u32) -> bool {
         let node = &self.nodes[node];
         node.is_running() && node.incarnation() == incarnation
@@ -125,8 +125,8 @@
         }
     }
 
-    /// A pause of a node ends, perhaps its last. What waited is handled: first what revokes attempts, then the outcomes
-    /// of attempts, then the rest.
+    /// Ends one pause of a node. After its last pause, the deferred events are handled: first those that revoke
+    /// attempts, then the outcomes of attempts, then the others.
     fn end_pause(&mut self, node: NodeId) {
         let Deferred { events, outcomes } = self.nodes[node].resume();
         if !self.nodes[node].is_paused() {
@@ -138,16 +138,15 @@
             self.notify_policy(node, event);
         }
         for DeferredOutcome { job, status } in outcomes {
-            self.outcome_arrives(job, status);
+            self.receive_outcome(job, status);
         }
         for event in others {
-            self.handle_after_pause(node, event, &gone);
+            self.handle_deferred(node, event, &gone);
         }
     }
 
-    /// Handles an event that waited. A request whose client has gone is passed over, another has what is left of its
-    /// time.
-    fn handle_after_pause(&mut self, node: NodeId, event: PolicyEvent, gone: &BTreeSet<RequestId>) {
+    /// Handles a deferred event. A request whose client has gone is skipped; any other has its remaining time updated.
+    fn handle_deferred(&mut self, node: NodeId, event: PolicyEvent, gone: &BTreeSet<RequestId>) {
         let event = match event {
             PolicyEvent::Request(request) if gone.contains(&request.id) => return,
             PolicyEvent::Request(request) => {
@@ -163,14 +162,14 @@
         self.notify_policy(node, event);
     }
 
-    /// A node is told to shut down; the load balancer sends it requests for a while longer.
+    /// Asks a node to shut down. The load balancer continues to send it requests for [`DEREGISTRATION_DELAY`].
     fn begin_restart(&mut self, node: NodeId) {
         if !self.nodes[node].is_running() {
             return;
         }
         let killed_at = self.now + deployment::earliest_kill_after_terminate(self.scenario);
         self.nodes[node].begin_shutdown(Shutdown {
-            answer_by: killed_at - FINAL_ANSWER_TIME,
+            answer_by: killed_at - FINAL_ANSWERS_TIME,
             killed_at,
         });
         let deregister = NodeEvent::Deregister {
@@ -181,34 +180,34 @@
         self.schedule(self.now + delay, Event::Node(deregister));
     }
 
-    /// Ends a node that has answered all its requests or whose time is over, and starts it again; else checks later.
+    /// Restarts a node that has answered all its requests or has reached its kill time. Otherwise checks again later.
     fn check_shutdown(&mut self, node: NodeId, incarnation: u32) {
         let Some(shutdown) = self.nodes[node].shutdown() else {
             return;
         };
-        if self.now >= shutdown.answer_by && !self.has_defect(Defect::NoAnswersBeforeExit) {
-            self.answer_all(node);
+        if self.now >= shutdown.answer_by && !self.has_defect(Defect::NoFinalAnswersOnShutdown) {
+            self.fail_unanswered_requests(node);
         }
         if self.nodes[node].open.is_empty() || self.now >= shutdown.killed_at {
             self.end_process(node);
             let start = NodeEvent::Start { node };
-            self.schedule(self.now + PROCESS_START, Event::Node(start));
+            self.schedule(self.now + PROCESS_START_TIME, Event::Node(start));
             return;
         }
         let check = NodeEvent::CheckShutdown { node, incarnation };
-        let next = (self.now + SHUTDOWN_CHECK).min(shutdown.killed_at);
+        let next = (self.now + SHUTDOWN_CHECK_INTERVAL).min(shutdown.killed_at);
         self.schedule(next, Event::Node(check));
     }
 
-    /// A node whose shutdown is nearly over gives the answers that are left, which say that the requests failed.
-    fn answer_all(&mut self, node: NodeId) {
+    /// Answers all open requests with a failure, near the end of a node's shutdown.
+    fn fail_unanswered_requests(&mut self, node: NodeId) {
         for request in self.nodes[node].unanswered() {
             self.answer(node, request, Reply::Failed);
             self.notify_policy(node, PolicyEvent::ClientGone(request));
         }
     }
 
-    /// The process of a node that was told to shut down ends: what it leaves unanswered is lost.
+    /// Ends the process of a node that was asked to shut down. Requests without an answer are lost.
     fn end_process(&mut self, node: NodeId) {
         for request in self.nodes[node].unanswered() {
             self.invariants.aborted(self.now, (node, request));
@@ -216,16 +215,18 @@
         self.kill_node(node);
     }
 
-    /// The time that a node has for a request with a deadline, which is less near the end of its shutdown.
+    /// The time that a node has for a request. It is limited by the request's deadline and by the node's shutdown.
     pub(super) fn remaining_at_node(&self, node: NodeId, deadline: Micros) -> Micros {
         let answer_by = match self.nodes[node].shutdown() {
-            Some(shutdown) if !self.has_defect(Defect::NoAnswersBeforeExit) => shutdown.answer_by,
+            Some(shutdown) if !self.has_defect(Defect::NoFinalAnswersOnShutdown) => {
+                shutdown.answer_by
+            }
             _ => Micros::MAX,
         };
         deadline.min(answer_by).saturating_sub(self.now)
     }
 
-    /// A node's process ends: its attempts are cancelled, and its clients' connections break.
+    /// Ends a node's process: its attempts are cancelled, and its clients' connections are closed.
     pub(super) fn kill_node(&mut self, id: NodeId) {
         let node = &mut self.nodes[id];
         if !node.is_running() {
@@ -249,7 +250,8 @@
         }
     }
 
-    /// A node's process starts again, with the endpoint list that it had. Two faults may each try to start it.
+    /// Starts a node's process again with its copy of the endpoint list. Does nothing if the node is running, because
+    /// two faults may each schedule a start.
     fn restart_node(&mut self, id: NodeId) {
         if self.nodes[id].is_running() {
             return;
--- a/crates/testbed/src/virtual_time/load_balancer.rs
+++ b/crates/testbed/src/virtual_time/load_balancer.rs
@@ -2,13 +2,13 @@
 
 use cluster_model::endpoint_list::NodeId;
 
-/// The load balancer, as the set of nodes that it sends requests to.
+/// The load balancer: the set of nodes that it sends requests to.
 pub(super) struct LoadBalancer {
     nodes: Vec<NodeId>,
 }
 
 impl LoadBalancer {
-    /// A load balancer with nodes 0 to `count`.
+    /// A load balancer with the nodes from 0 to `count` - 1.
     pub(super) fn new(count: u32) -> Self {
         LoadBalancer {
             nodes: (0..count).collect(),
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -1,9 +1,10 @@
 //! The driver in virtual time: an event queue, the policy of each node, and the parts of the cluster model. The clock
-//! jumps from event to event; events at the same time happen in the order in which they were scheduled.
+//! advances from event to event. Events at the same time are handled in the order in which they were scheduled.
 //!
-//! Each concern has a module, most with the events that it handles: `clients` with the `load_balancer`; `nodes` with the
-//! `lifecycle` of their processes and the `policy_driver`; `attempts` on their way between nodes and servers; `servers`
-//! with the origin; `discovery` through the endpoint list; and `faults`. `node_options` are for tests of the invariants.
+//! Each concern has a module, and most modules define the events that they handle: `clients` and `load_balancer`;
+//! `nodes`, the `lifecycle` of their processes and the `policy_driver`; `attempts` in flight between nodes and servers;
+//! `servers`, including the origin; `discovery` through the endpoint list; and `faults`. `node_options` is for tests of
+//! the invariants.
 
 mod attempts;
 mod clients;
@@ -40,10 +41,10 @@
 use nodes::Nodes;
 use servers::{Server, ServerEvent};
 
-/// When a run begins, in microseconds: late enough that "long ago" is before it.
+/// Time at which a run begins, in microseconds. It is large, so that servers can have started long before it.
 const BEGIN: Micros = 1_000_000_000;
-/// After the last arrival a run goes on until all is answered, but no longer than this, in microseconds.
-const MAX_TAIL: Micros = 10_000_000;
+/// After the last arrival a run continues until all requests are answered, but for at most this time, in microseconds.
+const MAX_DRAIN_TIME: Micros = 10_000_000;
 
 /// A future event, by the module that handles it.
 enum Event {
@@ -55,7 +56,7 @@
     Injection(InjectionEvent),
 }
 
-/// The random streams of the parts that the driver draws for.
+/// The random streams that the driver draws from.
 struct RandomStreams {
     work: RandomStream,
     network: RandomStream,
@@ -91,7 +92,7 @@
     network: Network,
     servers: BTreeMap<ServerId, Server>,
     origin: Origin,
-    /// Grows whenever the origin's next event is scheduled anew; earlier ones are void.
+    /// Incremented whenever the origin's next event is rescheduled. Events with an earlier generation are ignored.
     origin_generation: u64,
     list: EndpointList,
     invariants: Invariants,
@@ -104,11 +105,11 @@
     run_with_options(scenario, seed, NodeOptions::default())
 }
 
-/// Runs a scenario with a seed and with nodes that differ from those of its deployment.
+/// Runs a scenario with a seed, and with nodes that deviate from its deployment.
 pub fn run_with_options(scenario: &Scenario, seed: u64, options: NodeOptions) -> Report {
     let mut simulation = Simulation::new(scenario, seed, options);
     simulation.begin();
-    let end = BEGIN + micros(scenario.length) + MAX_TAIL;
+    let end = BEGIN + micros(scenario.length) + MAX_DRAIN_TIME;
     while let Some((at, event)) = simulation.queue.pop() {
         if at > end {
             break;
@@ -117,7 +118,7 @@
         simulation.events += 1;
         simulation.handle(event);
     }
-    // Whatever is open and has no event left is never answered.
+    // Requests that are still open without any event left will never be answered.
     simulation.now = end;
     simulation.report(seed)
 }
@@ -177,13 +178,13 @@
         }
     }
 
-    /// Counts something for the request of a client; for the present time if that has ended.
-    fn count(&mut self, client: u64, add: impl FnOnce(&mut Counts)) {
+    /// Updates the counts for the request of a client, or for the current time if that request has ended.
+    fn count(&mut self, client: u64, update: impl FnOnce(&mut Counts)) {
         let intended_at = self
             .clients
             .get(client)
             .map_or(self.now, |client| client.intended_at);
-        self.clients.count(intended_at, add);
+        self.clients.count(intended_at, update);
     }
 
     fn report(mut self, seed: u64) -> Report {
--- a/crates/testbed/src/virtual_time/node_options.rs
+++ b/crates/testbed/src/virtual_time/node_options.rs
@@ -1,36 +1,36 @@
-//! How the nodes of a run differ from those of a deployment: they may hedge, or lack a safeguard on purpose, so that tests
-//! can show that the invariants notice.
+//! Deviations of a run's nodes from its deployment: they may hedge, or deliberately lack a safeguard, so that tests can
+//! show that the invariants detect it.
 
 use routing_policy::Settings;
 
-/// What all nodes of a run lack or do wrong.
+/// A deliberate defect of all nodes of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Defect {
-    /// They take servers that have just started for warm ones.
+    /// Nodes treat servers that have just started as warm.
     NoSlowStart,
-    /// They go on with requests whose clients have closed their connections.
+    /// Nodes continue with requests whose clients have closed their connections.
     IgnoresClosedClients,
-    /// Each attempt tells its server the time that its class's clients wait in all.
-    TellsWholeDeadline,
-    /// When they are told to shut down they leave requests with a late deadline open.
-    NoAnswersBeforeExit,
-    /// They neither reject requests nor let them fail.
-    AnswersOnlyWithValues,
-    /// They ignore what the endpoint list tells them.
+    /// Each attempt states to its server the remaining time that the request had on arrival, not what is left of it.
+    SendsOriginalDeadline,
+    /// During a shutdown, nodes do not answer open requests before the platform may kill them.
+    NoFinalAnswersOnShutdown,
+    /// Nodes answer only with values: they do not send rejections or failures.
+    NoRejectionsOrFailures,
+    /// Nodes ignore updates of the endpoint list.
     IgnoresEndpointList,
 }
 
-/// What all nodes of a run do otherwise than the scenario's deployment says.
+/// Deviations of all nodes of a run from the scenario's deployment.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct NodeOptions {
-    /// They may have two attempts of a request in flight at once.
+    /// Whether nodes may have two attempts of a request in flight at once.
     pub hedging: bool,
-    /// What they lack or do wrong.
+    /// The defect of the nodes, if they have one.
     pub defect: Option<Defect>,
 }
 
 impl NodeOptions {
-    /// The settings that a node with these options works by.
+    /// Applies the options to the settings of a node.
     pub(super) fn apply(self, mut settings: Settings) -> Settings {
         settings.may_hedge |= self.hedging;
         if self.defect == Some(Defect::NoSlowStart) {
--- a/crates/testbed/src/virtual_time/nodes.rs
+++ b/crates/testbed/src/virtual_time/nodes.rs
@@ -1,4 +1,4 @@
-//! The state of the nodes: each has a policy, the requests it has accepted, and its copy of the endpoint list.
+//! The state of the nodes: each has a policy, its open requests, and its copy of the endpoint list.
 
 use std::collections::BTreeMap;
 use std::ops::{Index, IndexMut};
@@ -12,30 +12,30 @@
 /// Id of the first request of an incarnation.
 const FIRST_REQUEST: RequestId = 1;
 
-/// A request that a node has accepted and not forgotten.
+/// A request that a node has accepted and still keeps track of.
 pub(super) struct OpenRequest {
     /// Id of its client.
     pub(super) client: u64,
-    /// In microseconds.
+    /// Deadline in microseconds.
     pub(super) deadline: Micros,
     /// Time from its arrival to its deadline, in microseconds.
-    pub(super) whole_time: Micros,
+    pub(super) initial_remaining: Micros,
     /// Attempts sent so far.
     pub(super) attempts_sent: u16,
     /// Attempts without an outcome so far.
     pub(super) in_flight: u16,
-    /// Whether it has its final answer, or its client has gone.
+    /// Whether the request has its final answer or its client has gone.
     pub(super) complete: bool,
     /// Servers that answered with a miss.
     pub(super) missed: Vec<ServerId>,
 }
 
 impl OpenRequest {
-    pub(super) fn new(client: u64, deadline: Micros, whole_time: Micros) -> Self {
+    pub(super) fn new(client: u64, deadline: Micros, initial_remaining: Micros) -> Self {
         OpenRequest {
             client,
             deadline,
-            whole_time,
+            initial_remaining,
             attempts_sent: 0,
             in_flight: 0,
             complete: false,
@@ -51,20 +51,20 @@
     pub(super) status: AttemptStatus,
 }
 
-/// What waits while a node is paused, in the order of arrival.
+/// What is deferred while a node is paused, in the order of arrival.
 #[derive(Default)]
 pub(super) struct Deferred {
-    /// For its policy.
+    /// Events for the policy.
     pub(super) events: Vec<PolicyEvent>,
     pub(super) outcomes: Vec<DeferredOutcome>,
 }
 
-/// When a node that was told to shut down has to be done, in microseconds.
+/// The times by which a node that was asked to shut down must be done, in microseconds.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Shutdown {
-    /// It gives the answers that are left by then.
+    /// The node answers all open requests by this time.
     pub(super) answer_by: Micros,
-    /// The platform kills it then.
+    /// The platform kills the node at this time.
     pub(super) killed_at: Micros,
 }
 
@@ -73,17 +73,17 @@
     policy: Policy,
     zone: Zone,
     running: bool,
-    /// Grows whenever its process ends.
+    /// Incremented whenever the process ends.
     incarnation: u32,
     next_request: RequestId,
     pub(super) open: BTreeMap<RequestId, OpenRequest>,
     /// Number of pauses that have not ended.
     pauses: u32,
-    /// What waits while it is paused.
+    /// What is deferred while the node is paused.
     deferred: Deferred,
-    /// Once it was told to shut down.
+    /// Set once the node was asked to shut down.
     shutdown: Option<Shutdown>,
-    /// Its copy of the endpoint list.
+    /// The node's copy of the endpoint list.
     pub(super) endpoints: BTreeMap<ServerId, EndpointRecord>,
     /// Version of that copy.
     pub(super) list_version: u64,
@@ -116,7 +116,7 @@
         self.zone
     }
 
-    /// Whether its process runs, be it paused or not.
+    /// Whether the process is running; a paused process is running too.
     pub(super) fn is_running(&self) -> bool {
         self.running
     }
@@ -133,7 +133,7 @@
         id
     }
 
-    /// Passes an event to the policy, and returns its actions. While the node is paused, the event waits.
+    /// Passes an event to the policy and returns its actions. While the node is paused, the event is deferred.
     pub(super) fn handle(&mut self, now: Micros, event: PolicyEvent) -> Vec<Action> {
         let mut actions = Vec::new();
         if self.pauses > 0 {
@@ -148,17 +148,17 @@
         self.pauses > 0
     }
 
-    /// Pauses the node once more.
+    /// Begins a pause. Pauses may overlap.
     pub(super) fn pause(&mut self) {
         self.pauses += 1;
     }
 
-    /// An outcome of an attempt waits until the node resumes.
+    /// Defers an outcome of an attempt until the node resumes.
     pub(super) fn defer_outcome(&mut self, outcome: DeferredOutcome) {
         self.deferred.outcomes.push(outcome);
     }
 
-    /// Ends one pause. If it was the last, the node resumes: what waited is returned.
+    /// Ends one pause. If it was the last one, the node resumes, and what was deferred is returned.
     pub(super) fn resume(&mut self) -> Deferred {
         self.pauses = self.pauses.saturating_sub(1);
         if self.pauses > 0 {
@@ -167,7 +167,7 @@
         std::mem::take(&mut self.deferred)
     }
 
-    /// It is told to shut down, unless it was before.
+    /// Begins a shutdown, unless one has begun already.
     pub(super) fn begin_shutdown(&mut self, shutdown: Shutdown) {
         self.shutdown.get_or_insert(shutdown);
     }
@@ -184,7 +184,7 @@
             .collect()
     }
 
-    /// Its process ends. Returns the requests that it had.
+    /// Ends the process. Returns the requests that were open.
     pub(super) fn stop(&mut self) -> BTreeMap<RequestId, OpenRequest> {
         self.running = false;
         self.incarnation += 1;
@@ -192,7 +192,7 @@
         std::mem::take(&mut self.open)
     }
 
-    /// Its process starts again with a new policy. It keeps its copy of the endpoint list.
+    /// Starts the process again with a new policy. The node keeps its copy of the endpoint list.
     pub(super) fn restart(&mut self, policy: Policy) {
         self.policy = policy;
         self.running = true;
--- a/crates/testbed/src/virtual_time/policy_driver.rs
+++ b/crates/testbed/src/virtual_time/policy_driver.rs
@@ -1,4 +1,4 @@
-//! Passes events to the policy of a node, and carries out its actions.
+//! Passes events to the policy of a node and performs its actions.
 
 use cluster_model::endpoint_list::{ListCall, NodeId};
 use routing_policy::{Action, Event as PolicyEvent, RequestId};
@@ -10,15 +10,15 @@
 use crate::clients::Reply;
 
 impl Simulation<'_> {
-    /// Passes an event to a node's policy, and carries out its actions. While the node is paused, the event waits.
+    /// Passes an event to a node's policy and performs its actions. While the node is paused, the event is deferred.
     pub(super) fn notify_policy(&mut self, node: NodeId, event: PolicyEvent) {
         let actions = self.nodes[node].handle(self.now, event);
         for action in &actions {
-            self.carry_out(node, action);
+            self.perform(node, action);
         }
     }
 
-    fn carry_out(&mut self, node: NodeId, action: &Action) {
+    fn perform(&mut self, node: NodeId, action: &Action) {
         match *action {
             Action::Send {
                 request, server, ..
@@ -43,7 +43,7 @@
             }
             Action::Subscribe(false) => self.list.disconnect(node),
             Action::FetchEndpoints => self.call_list(node, ListCall::Complete),
-            // Connections cost nothing in virtual time, and neither peers nor health checks are modelled.
+            // Connections have no cost in virtual time, and peers and health checks are not modelled.
             Action::CloseIdle(_)
             | Action::CheckHealth(_)
             | Action::SendToPeer { .. }
@@ -52,9 +52,9 @@
         }
     }
 
-    /// A node gives its final answer to a request, unless it has done so before.
+    /// Sends a node's final answer to a request, unless the request is complete already.
     pub(super) fn answer(&mut self, node: NodeId, request: RequestId, reply: Reply) {
-        let withheld = self.has_defect(Defect::AnswersOnlyWithValues) && reply != Reply::Served;
+        let withheld = self.has_defect(Defect::NoRejectionsOrFailures) && reply != Reply::Served;
         let Some(open) = self.nodes[node].open.get_mut(&request) else {
             return;
         };
@@ -67,14 +67,14 @@
         self.invariants
             .answered(self.now, (node, request), rejected);
         self.schedule_reply(CLIENT_DELAY, client, reply);
-        self.forget_if_over(node, request);
+        self.forget_if_finished(node, request);
     }
 
     /// Forgets a request that is complete and has no attempt in flight.
-    pub(super) fn forget_if_over(&mut self, node: NodeId, request: RequestId) {
+    pub(super) fn forget_if_finished(&mut self, node: NodeId, request: RequestId) {
         let open = &mut self.nodes[node].open;
-        let is_over = |open: &OpenRequest| open.complete && open.in_flight == 0;
-        if open.get(&request).is_some_and(is_over) {
+        let is_finished = |open: &OpenRequest| open.complete && open.in_flight == 0;
+        if open.get(&request).is_some_and(is_finished) {
             open.remove(&request);
             self.invariants.forget((node, request));
         }
--- a/crates/testbed/src/virtual_time/servers.rs
+++ b/crates/testbed/src/virtual_time/servers.rs
@@ -1,4 +1,4 @@
-//! The cache servers and the origin: their completions, and their starts and ends.
+//! The cache servers and the origin: completion of their jobs, and start and stop of the cache servers.
 
 use std::collections::BTreeMap;
 
@@ -14,21 +14,21 @@
 use crate::deployment;
 use crate::scenario::Scenario;
 
-/// Id of the origin. Cache servers count from 1.
+/// Id of the origin. Cache servers have ids from 1.
 pub(super) const ORIGIN: ServerId = 1_000_000;
 /// The first id of a cache server.
 const FIRST_SERVER: ServerId = 1;
-/// A fetched value is stored at this many of the servers that missed it.
+/// A value fetched for a request is stored on at most this many of the cache servers that answered it with a miss.
 const MAX_STORES: usize = 2;
 
-/// An event at a server. One with an earlier generation than the server's is void.
+/// An event at a server. An event with an earlier generation than the server's is ignored.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum ServerEvent {
-    /// Attempts at a cache server may be completed.
+    /// Jobs of a cache server may be complete.
     CacheServerDue { server: ServerId, generation: u64 },
-    /// Calls to the origin may be completed.
+    /// Calls to the origin may be complete.
     OriginDue { generation: u64 },
-    /// A cache server drains.
+    /// A cache server begins to drain.
     Drain { server: ServerId },
     /// A cache server's process ends.
     Stop { server: ServerId },
@@ -39,14 +39,14 @@
 /// A cache server.
 pub(super) struct Server {
     pub(super) cache: CacheServer,
-    /// Its kind, by the index in the scenario.
+    /// Index of the server's kind in the scenario.
     pub(super) kind: usize,
     pub(super) zone: Zone,
-    /// Grows whenever its next event is scheduled anew; earlier ones are void.
+    /// Incremented whenever the next event is rescheduled. Events with an earlier generation are ignored.
     generation: u64,
 }
 
-/// The servers of a scenario, which started long ago.
+/// The servers of a scenario at the beginning of a run. They started long before it and are warm.
 pub(super) fn initial_servers(scenario: &Scenario) -> BTreeMap<ServerId, Server> {
     let mut servers = BTreeMap::new();
     for (kind, spec) in scenario.kinds.iter().enumerate() {
@@ -64,7 +64,7 @@
     servers
 }
 
-/// What a response of the origin is to a node.
+/// The status of an attempt that the origin answered with a response.
 pub(super) fn origin_status(response: OriginResponse) -> AttemptStatus {
     match response {
         OriginResponse::Done => AttemptStatus::Served,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Schedules a cache server's next event, in place of an earlier one.
+    /// Schedules a cache server's next event, which replaces the one scheduled before.
     pub(super) fn schedule_cache_server(&mut self, id: ServerId) {
         let Some(server) = self.servers.get_mut(&id) else {
             return;
@@ -132,7 +132,7 @@
         self.schedule_cache_server(id);
     }
 
-    /// Schedules the origin's next event, in place of an earlier one.
+    /// Schedules the origin's next event, which replaces the one scheduled before.
     pub(super) fn schedule_origin(&mut self) {
         self.origin_generation += 1;
         if let Some(at) = self.origin.next_event_at() {
@@ -154,8 +154,8 @@
         self.schedule_origin();
     }
 
-    /// The origin has served a call whose client still waits: a write invalidates all copies, and a read is stored where
-    /// it missed.
+    /// Updates the caches after the origin has served a call whose client still waits: a write invalidates all copies,
+    /// and a read is stored on cache servers that answered with a miss.
     fn update_caches(&mut self, job: JobId) {
         let Some(attempt) = self.attempts.get(job) else {
             return;
@@ -187,28 +187,28 @@
         if let Some(server) = self.servers.get_mut(&id) {
             server.cache.drain();
         }
-        self.condition_changes(id, Condition::Draining, 0);
+        self.report_condition_change(id, Condition::Draining, 0);
     }
 
-    /// A server's process ends: its connections are reset.
+    /// Ends a server's process. Its connections are reset.
     pub(super) fn stop_server(&mut self, id: ServerId) {
         let lost = self.servers.get_mut(&id).map(|server| server.cache.stop());
         for job in lost.unwrap_or_default() {
             self.send_outcome(job, AttemptStatus::Reset);
         }
-        self.server_is_gone(id);
+        self.report_server_removed(id);
     }
 
-    /// A server's process starts, empty and cold.
+    /// Starts a server's process with an empty cache.
     fn start_server(&mut self, id: ServerId) {
         let now = self.now;
         if let Some(server) = self.servers.get_mut(&id) {
             server.cache.restart(now);
         }
-        self.condition_changes(id, Condition::Ready, now);
+        self.report_condition_change(id, Condition::Ready, now);
     }
 
-    /// Adds a server of the same kind and zone as another, which has not started yet.
+    /// Adds a server that has not started yet, with the same kind and zone as the one it replaces.
     pub(super) fn add_replacement(&mut self, replaced: ServerId) -> ServerId {
         let (kind, zone) = self
             .servers
@@ -229,7 +229,7 @@
         id
     }
 
-    /// From now on a neighbour uses this fraction of a server's machine.
+    /// Sets the fraction of a server's machine that a noisy neighbour uses from now on.
     pub(super) fn set_stolen_share(&mut self, id: ServerId, share: f64) {
         if let Some(server) = self.servers.get_mut(&id) {
             server.cache.set_stolen_share(self.now, share);
--- a/crates/testbed/tests/clock_faults.rs
+++ b/crates/testbed/tests/clock_faults.rs
@@ -1,5 +1,5 @@
-//! Cache servers that restart cold and collapse under a warm server's share of the load, while the wall clocks of nodes
-//! and of the list service are off by an hour or stepped: nodes on sockets spare them all the same.
+//! Cache servers restart cold, and collapse if they are sent a warm server's share of the load. Nodes on sockets must
+//! not overload them, even if the wall clocks of nodes and of the list service are an hour off or are stepped.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -19,7 +19,7 @@
 
 use socket_run::run_scenario;
 
-/// All scenarios with this load and these restarts.
+/// All scenarios in `scenarios/clocks`. They have the same load and similar restarts of cache servers.
 const SCENARIOS: [&str; 7] = [
     "agree",
     "nodes-ahead",
@@ -35,7 +35,8 @@
     Scenario::read(&folder.join(format!("{name}.toml"))).unwrap_or_else(|e| panic!("{e}"))
 }
 
-/// Runs a scenario with real nodes, and latency objectives that a slow machine meets too.
+/// Runs a scenario with real nodes. Latency objectives and deadlines are relaxed, so that a slow machine meets them
+/// too.
 fn run_on_sockets(name: &str, seed: u64) -> Report {
     let mut scenario = read(name);
     for class in &mut scenario.classes {
@@ -47,28 +48,31 @@
     run_scenario(&scenario, seed, folder.path(), never, |_| ()).unwrap()
 }
 
-/// Attempts at cache servers that were not there at the beginning.
+/// Number of attempts at cache servers that were added during the run.
 fn attempts_at_new_servers(report: &Report) -> u64 {
     let by_server = report.attempts_by_server.iter();
     let new = by_server.filter(|(server, _)| **server > report.servers);
     new.map(|(_, attempts)| *attempts).sum()
 }
 
-/// The places in a scenario of the events that step clocks of nodes.
-fn steps_of_nodes(scenario: &Scenario) -> Vec<usize> {
+/// The indices in a scenario of the faults that step clocks of nodes.
+fn node_clock_steps(scenario: &Scenario) -> Vec<usize> {
     let is_step = |fault: &FaultEvent| matches!(fault, FaultEvent::StepClock { who, .. } if who.includes_nodes());
-    let events = scenario.faults.iter().enumerate();
-    let steps = events.filter(|(_, fault)| is_step(fault));
-    steps.map(|(event, _)| event).collect()
+    let faults = scenario.faults.iter().enumerate();
+    let steps = faults.filter(|(_, fault)| is_step(fault));
+    steps.map(|(index, _)| index).collect()
 }
 
-/// Checks that nodes whose clocks were really off kept the rules with servers that were really cold.
-fn assert_cold_servers_are_spared(name: &str, seed: u64) {
+/// Checks that no invariant is violated, that new servers were sent attempts, and that nodes did read stepped clocks.
+fn assert_cold_servers_are_not_overloaded(name: &str, seed: u64) {
     let report = run_on_sockets(name, seed);
     assert!(report.invariants_hold(), "{name}: {report}");
     assert!(attempts_at_new_servers(&report) > 0, "{name}: {report}");
-    let steps = steps_of_nodes(&read(name));
-    assert!(!steps.is_empty(), "{name} steps no clock of a node");
+    let steps = node_clock_steps(&read(name));
+    assert!(
+        !steps.is_empty(),
+        "{name}: no fault steps a clock of a node"
+    );
     for step in steps {
         let mut injected = report.injected_faults.iter();
         let readings = injected.find(|fault| fault.event == step).unwrap();
@@ -77,11 +81,11 @@
 }
 
 #[test]
-fn cold_servers_collapse_under_a_warm_servers_share() {
+fn cold_servers_collapse_if_nodes_send_them_a_warm_servers_share() {
     for name in SCENARIOS {
         let scenario = read(name);
-        let sound = virtual_time::run(&scenario, 1);
-        assert!(sound.invariants_hold(), "{name}: {sound}");
+        let without_defect = virtual_time::run(&scenario, 1);
+        assert!(without_defect.invariants_hold(), "{name}: {without_defect}");
         let options = NodeOptions {
             defect: Some(Defect::NoSlowStart),
             ..NodeOptions::default()
@@ -94,11 +98,11 @@
 }
 
 #[test]
-fn nodes_ahead_of_the_list_service_spare_cold_servers() {
-    assert_cold_servers_are_spared("nodes-ahead", 1);
+fn nodes_with_clocks_ahead_of_the_list_service_do_not_overload_cold_servers() {
+    assert_cold_servers_are_not_overloaded("nodes-ahead", 1);
 }
 
 #[test]
-fn nodes_spare_cold_servers_after_steps_of_all_clocks() {
-    assert_cold_servers_are_spared("all-stepped", 3);
+fn nodes_do_not_overload_cold_servers_after_steps_of_all_clocks() {
+    assert_cold_servers_are_not_overloaded("all-stepped", 3);
 }
--- a/crates/testbed/tests/invariants.rs
+++ b/crates/testbed/tests/invariants.rs
@@ -1,4 +1,5 @@
-//! Scenarios that play each invariant in virtual time: nodes keep it, and nodes that lack the safeguard for it do not.
+//! Scenarios that exercise each invariant in virtual time. It holds with ordinary nodes, and a violation is detected
+//! with nodes that lack the safeguard for it.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -19,7 +20,7 @@
     Span(Duration::from_millis(milliseconds))
 }
 
-/// Some seconds of a sound fleet with these faults.
+/// A fleet with spare capacity that runs for some seconds with these faults.
 fn scenario(seconds: u64, faults: Vec<FaultEvent>) -> Scenario {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("scenarios/calm.toml");
     let mut scenario = Scenario::read(&path).unwrap_or_else(|e| panic!("{e}"));
@@ -40,20 +41,21 @@
     run_with_options(scenario, 1, options)
 }
 
-/// Checks that a scenario violates no invariant, unless the nodes have a defect. Returns the report without it.
+/// Checks that a scenario violates no invariant with ordinary nodes, and does so with the defect. Returns the report of
+/// the run without the defect.
 fn only_violated_with(scenario: &Scenario, defect: Defect, violation: &str) -> Report {
-    let sound = run(scenario, 1);
-    assert!(sound.invariants_hold(), "{sound}");
+    let without_defect = run(scenario, 1);
+    assert!(without_defect.invariants_hold(), "{without_defect}");
     let report = run_with_defect(scenario, defect);
     let shown = &report.violations;
     assert!(
         shown.iter().any(|shown| shown.contains(violation)),
         "{defect:?} violates nothing: {report}"
     );
-    sound
+    without_defect
 }
 
-/// Most servers are replaced by cold ones, which can do a twentieth of what they can do later.
+/// Most servers are replaced by cold ones, which have a twentieth of their full capacity at first.
 fn cold_start(nodes: u32) -> Scenario {
     let replaced = FaultEvent::ReplaceServers {
         at: milliseconds(500),
@@ -72,14 +74,14 @@
 }
 
 #[test]
-fn one_node_spares_servers_in_slow_start() {
+fn one_node_does_not_overload_servers_in_slow_start() {
     only_violated_with(&cold_start(1), Defect::NoSlowStart, "failback: ");
 }
 
-/// Servers are lost and come back cold, and the load of the others doubles meanwhile: all that a cold server may be sent
-/// is wanted of it. Each of these seeds had a server collapse while a node counted its own burst among what chance brings.
+/// Servers crash and start again cold, and then the load doubles, so that each cold server is sent the most that slow
+/// start allows. With each of these seeds a server collapsed when a node counted its own burst as random variation.
 #[test]
-fn one_node_spares_servers_in_slow_start_though_it_is_overloaded() {
+fn one_overloaded_node_does_not_overload_servers_in_slow_start() {
     let lost = FaultEvent::CrashServers {
         at: milliseconds(500),
         part: 0.6,
@@ -100,21 +102,21 @@
 }
 
 #[test]
-fn five_nodes_together_spare_servers_in_slow_start() {
+fn five_nodes_together_do_not_overload_servers_in_slow_start() {
     only_violated_with(&cold_start(5), Defect::NoSlowStart, "failback: ");
 }
 
 #[test]
-fn thirty_nodes_together_spare_servers_in_slow_start() {
+fn thirty_nodes_together_do_not_overload_servers_in_slow_start() {
     only_violated_with(&cold_start(30), Defect::NoSlowStart, "failback: ");
 }
 
 #[test]
-fn three_hundred_nodes_together_spare_servers_in_slow_start() {
+fn three_hundred_nodes_together_do_not_overload_servers_in_slow_start() {
     only_violated_with(&cold_start(300), Defect::NoSlowStart, "failback: ");
 }
 
-/// Answers that are lost, so that requests need further attempts, and an origin that defers calls.
+/// Answers are lost, so that requests need further attempts, and the origin is slow, so that calls to it are deferred.
 fn lossy(seconds: u64) -> Scenario {
     let lost = FaultEvent::DamageAnswers {
         at: milliseconds(0),
@@ -144,12 +146,12 @@
 }
 
 #[test]
-fn attempts_tell_their_servers_at_most_the_time_that_is_left() {
-    only_violated_with(&lossy(3), Defect::TellsWholeDeadline, "deadline: ");
+fn attempts_state_at_most_the_remaining_time_to_their_servers() {
+    only_violated_with(&lossy(3), Defect::SendsOriginalDeadline, "deadline: ");
 }
 
 #[test]
-fn hedged_requests_keep_the_rules_on_clients_that_left_and_on_the_deadline_told() {
+fn hedged_requests_violate_no_invariant_on_closed_clients_or_on_the_stated_deadline() {
     let mut scenario = lossy(3);
     scenario.load.abandon_share = 0.5;
     scenario.load.abandon_after = milliseconds(100);
@@ -157,21 +159,21 @@
         let hedging = true;
         run_with_options(&scenario, 1, NodeOptions { hedging, defect })
     };
-    let sound = hedging(None);
-    assert!(sound.invariants_hold(), "{sound}");
+    let hedged = hedging(None);
+    assert!(hedged.invariants_hold(), "{hedged}");
     let attempts = |report: &Report| sum(report, |window| window.attempts);
     let unhedged = run(&scenario, 1);
     assert!(
-        attempts(&sound) > attempts(&unhedged) + 50,
-        "{sound}{unhedged}"
+        attempts(&hedged) > attempts(&unhedged) + 50,
+        "{hedged}{unhedged}"
     );
-    for defect in [Defect::IgnoresClosedClients, Defect::TellsWholeDeadline] {
+    for defect in [Defect::IgnoresClosedClients, Defect::SendsOriginalDeadline] {
         let report = hedging(Some(defect));
         assert!(!report.invariants_hold(), "{defect:?}: {report}");
     }
 }
 
-/// All nodes are told to shut down one after another while the origin hardly answers, with this deadline.
+/// All nodes are restarted one after another while the origin is almost unavailable; requests have this deadline.
 fn restarts(deadline_ms: u64) -> Scenario {
     let mut scenario = lossy(6);
     scenario.length = milliseconds(3_000);
@@ -193,29 +195,29 @@
 }
 
 #[test]
-fn what_a_node_has_read_is_answered_before_the_platform_may_kill_it() {
+fn a_node_answers_all_requests_that_it_has_read_before_the_platform_may_kill_it() {
     for deadline_ms in [100, 400, 1_000, 3_000, 8_000] {
         let report = run(&restarts(deadline_ms), 1);
         assert!(report.invariants_hold(), "{deadline_ms} ms: {report}");
     }
-    only_violated_with(&restarts(8_000), Defect::NoAnswersBeforeExit, "lost: ");
+    only_violated_with(&restarts(8_000), Defect::NoFinalAnswersOnShutdown, "lost: ");
 }
 
 #[test]
-fn requests_whose_time_ends_while_servers_are_silent_get_their_answer_all_the_same() {
-    for effect in [Idempotency::Idempotent, Idempotency::NotIdempotent] {
+fn requests_whose_deadline_passes_while_servers_do_not_respond_are_still_answered() {
+    for idempotency in [Idempotency::Idempotent, Idempotency::NotIdempotent] {
         let mut scenario = lossy(2);
         for class in &mut scenario.classes {
-            class.idempotency = effect;
+            class.idempotency = idempotency;
             class.deadline = milliseconds(200);
             class.latency_objective = milliseconds(200);
         }
-        only_violated_with(&scenario, Defect::AnswersOnlyWithValues, "lost: ");
+        only_violated_with(&scenario, Defect::NoRejectionsOrFailures, "lost: ");
     }
 }
 
 #[test]
-fn a_change_counts_as_notified_six_seconds_after_it_was_known() {
+fn nodes_count_as_notified_of_a_change_six_seconds_after_discovery_knew_of_it() {
     let mut faults = vec![FaultEvent::ReplaceServers {
         at: milliseconds(200),
         part: 0.3,
@@ -225,7 +227,8 @@
     let violation = "drain: ";
     let notified = scenario(11, faults.clone());
     only_violated_with(&notified, Defect::IgnoresEndpointList, violation);
-    // Discovery learns of the changes in an outage, and can be reached 6 s before the end only.
+    // Discovery learns of the changes during an outage that ends 6.4 s before the end of the load. Nodes count as
+    // notified 6 s after the outage, and the drain grace of 0.5 s is not over by the end of the load.
     faults.push(FaultEvent::ListDown {
         at: milliseconds(100),
         lasts: milliseconds(4_500),
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -1,4 +1,5 @@
-//! Runs in virtual time: the same seed gives the same bytes, every request has one end, and the invariants hold.
+//! Runs in virtual time: a seed always gives an identical report, every request ends exactly once, and the invariants
+//! hold.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -20,8 +21,8 @@
     Scenario::read(&path).unwrap_or_else(|e| panic!("{e}"))
 }
 
-/// The first seconds of a scenario.
-fn short(name: &str, seconds: u64) -> Scenario {
+/// A scenario shortened to its first seconds.
+fn shortened(name: &str, seconds: u64) -> Scenario {
     let mut scenario = scenario(name);
     scenario.length = Span(Duration::from_secs(seconds));
     scenario.faults.retain(|fault| fault.at() < scenario.length);
@@ -32,24 +33,24 @@
     Span(Duration::from_millis(milliseconds))
 }
 
-/// When the faults of these tests begin.
-fn begins() -> Span {
+/// Time at which the faults of these tests begin.
+fn fault_start() -> Span {
     milliseconds(1_000)
 }
 
-/// How long the faults of these tests last.
-fn lasts() -> Span {
+/// Duration of the faults of these tests.
+fn fault_duration() -> Span {
     milliseconds(2_000)
 }
 
-/// Four seconds without faults.
+/// Runs four seconds without faults.
 fn without_faults() -> Report {
-    run(&short("calm", 4), 1)
+    run(&shortened("calm", 4), 1)
 }
 
-/// Four seconds with one fault.
+/// Runs four seconds with one fault.
 fn with_fault(fault: FaultEvent) -> Report {
-    let mut scenario = short("calm", 4);
+    let mut scenario = shortened("calm", 4);
     scenario.faults = vec![fault];
     run(&scenario, 1)
 }
@@ -63,8 +64,8 @@
 }
 
 #[test]
-fn one_seed_gives_the_same_bytes_on_one_thread_and_on_six_and_another_seed_does_not() {
-    let scenario = short("storm", 4);
+fn a_seed_gives_an_identical_report_on_one_thread_and_on_six_and_another_seed_does_not() {
+    let scenario = shortened("storm", 4);
     let once = to_json(&run(&scenario, 7));
     assert_eq!(once, to_json(&run(&scenario, 7)));
     let scenario = &scenario;
@@ -83,7 +84,7 @@
 
 #[test]
 fn a_cluster_without_faults_serves_nearly_all_in_time_and_keeps_the_invariants() {
-    let report = run(&short("calm", 6), 1);
+    let report = run(&shortened("calm", 6), 1);
     assert!(
         report.service > 0.95 && report.invariants_hold(),
         "{report}"
@@ -109,7 +110,7 @@
 }
 
 #[test]
-fn under_all_faults_each_request_has_one_end_and_the_invariants_hold() {
+fn under_all_faults_each_request_ends_exactly_once_and_the_invariants_hold() {
     for seed in 1..=2 {
         let report = run(&scenario("storm"), seed);
         assert!(report.invariants_hold(), "{report}");
@@ -140,12 +141,12 @@
 }
 
 #[test]
-fn less_capacity_shows_in_the_service_level() {
-    let mut slow = short("calm", 6);
+fn less_capacity_lowers_the_service_level() {
+    let mut slow = shortened("calm", 6);
     for kind in &mut slow.kinds {
         kind.speed /= 4.0;
     }
-    let full = run(&short("calm", 6), 1);
+    let full = run(&shortened("calm", 6), 1);
     let slow = run(&slow, 1);
     assert!(slow.service < full.service - 0.2, "{full}{slow}");
     assert!(
@@ -157,8 +158,8 @@
 
 #[test]
 fn faults_of_origin_nodes_and_answers_lower_the_service_level_and_violate_no_invariant() {
-    let quiet = without_faults();
-    let (at, lasts) = (begins(), lasts());
+    let baseline = without_faults();
+    let (at, lasts) = (fault_start(), fault_duration());
     let failing_origin = with_fault(FaultEvent::OriginFails {
         at,
         part: 1.0,
@@ -167,7 +168,7 @@
     });
     assert!(
         sum(&failing_origin, |window| window.failed) > 0
-            && sum(&quiet, |window| window.failed) == 0,
+            && sum(&baseline, |window| window.failed) == 0,
         "{failing_origin}"
     );
     let slow_origin = with_fault(FaultEvent::OriginSlow {
@@ -181,7 +182,7 @@
         lasts,
     });
     assert!(
-        sum(&paused, |window| window.timed_out) > sum(&quiet, |window| window.timed_out),
+        sum(&paused, |window| window.timed_out) > sum(&baseline, |window| window.timed_out),
         "{paused}"
     );
     let damaged = with_fault(FaultEvent::DamageAnswers {
@@ -193,23 +194,23 @@
     });
     for report in [&failing_origin, &slow_origin, &paused, &damaged] {
         assert!(
-            report.service < quiet.service && report.invariants_hold(),
+            report.service < baseline.service && report.invariants_hold(),
             "{report}"
         );
     }
 }
 
 #[test]
-fn a_paused_node_answers_nothing_of_what_it_had_in_flight() {
-    let mut scenario = short("calm", 1);
+fn a_paused_node_does_not_answer_the_requests_that_it_had_in_flight() {
+    let mut scenario = shortened("calm", 1);
     scenario.faults = vec![FaultEvent::PauseNodes {
         at: milliseconds(999),
         part: 1.0,
-        lasts: lasts(),
+        lasts: fault_duration(),
     }];
     let report = run(&scenario, 1);
     assert!(report.invariants_hold(), "{report}");
-    // Some 900 requests a second take 15 ms and more each.
+    // About 900 requests per second take 15 ms or more each.
     let timed_out = sum(&report, |window| window.timed_out);
     assert!(timed_out >= 10, "{timed_out} timed out: {report}");
 }
@@ -217,11 +218,11 @@
 #[test]
 fn restarted_nodes_and_a_relocated_list_violate_no_invariant() {
     let restarted = with_fault(FaultEvent::RestartNodes {
-        at: begins(),
+        at: fault_start(),
         part: 1.0,
-        over: lasts(),
+        over: fault_duration(),
     });
-    let relocated = with_fault(FaultEvent::RelocateList { at: begins() });
+    let relocated = with_fault(FaultEvent::RelocateList { at: fault_start() });
     assert!(
         restarted.invariants_hold() && relocated.invariants_hold(),
         "{restarted}{relocated}"
@@ -230,20 +231,20 @@
 }
 
 #[test]
-fn a_scan_misses_the_keys_that_nobody_asked_for_lately() {
+fn a_scan_misses_keys_that_were_not_requested_recently() {
     let origin_calls = |faults: Vec<FaultEvent>| {
-        let mut scenario = short("calm", 4);
+        let mut scenario = shortened("calm", 4);
         scenario.faults = faults;
-        // Servers hold a quarter of the keys.
+        // The servers' memory is large enough for a quarter of the keys.
         for kind in &mut scenario.kinds {
             kind.memory_bytes /= 8;
         }
         sum(&run(&scenario, 1), |window| window.origin_calls)
     };
     let scan = FaultEvent::Scan {
-        at: begins(),
+        at: fault_start(),
         part: 0.5,
-        lasts: lasts(),
+        lasts: fault_duration(),
     };
     let with_scan = origin_calls(vec![scan]);
     let without = origin_calls(Vec::new());
@@ -256,22 +257,22 @@
 #[test]
 fn a_hot_key_raises_the_share_of_one_server() {
     let hot = with_fault(FaultEvent::HotKey {
-        at: begins(),
+        at: fault_start(),
         part: 0.8,
-        lasts: lasts(),
+        lasts: fault_duration(),
     });
     let largest_share = |report: &Report| {
         let largest = *report.attempts_by_server.values().max().unwrap() as f64;
         largest / report.attempts_by_server.values().sum::<u64>() as f64
     };
     let hot = largest_share(&hot);
-    let quiet = largest_share(&without_faults());
-    assert!(hot > 1.3 * quiet, "{hot} and {quiet}");
+    let baseline = largest_share(&without_faults());
+    assert!(hot > 1.3 * baseline, "{hot} and {baseline}");
 }
 
 #[test]
 fn clients_that_abandon_their_requests_are_counted_and_violate_no_invariant() {
-    let mut scenario = short("calm", 4);
+    let mut scenario = shortened("calm", 4);
     scenario.load.abandon_share = 0.5;
     scenario.load.abandon_after = milliseconds(10);
     let report = run(&scenario, 1);
@@ -283,11 +284,11 @@
 }
 
 #[test]
-fn a_load_balancer_that_notices_late_sends_requests_to_dead_nodes() {
+fn a_load_balancer_with_a_detection_delay_sends_requests_to_dead_nodes() {
     let failures_and_attempts = |delay_ms| {
-        let mut scenario = short("calm", 4);
+        let mut scenario = shortened("calm", 4);
         scenario.faults = vec![FaultEvent::KillNodes {
-            at: begins(),
+            at: fault_start(),
             part: 0.5,
             back: milliseconds(1_500),
         }];
