--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -1,7 +1,6 @@
-//! The clients, the same in both drivers: when each sends a request, for which key, how often it retries, and how its
-//! request ended. Clients do not wait for each other (open loop): requests arrive at their times whatever the answers,
-//! and a latency counts from the time at which the first attempt was intended, so that a driver that falls behind can't
-//! hide it.
+//! The clients, which are the same in both drivers: when each sends a request, for which key, how often it retries, and
+//! how its request ended. The load is an open loop: arrival times do not depend on the answers. A latency is measured
+//! from the time at which the first attempt was intended, so that it includes any delay of a driver that falls behind.
 
 use std::collections::BTreeMap;
 
@@ -17,12 +16,12 @@
 
 /// Largest latency that is recorded, in microseconds.
 const MAX_LATENCY: u64 = 600_000_000;
-/// Significant digits of recorded latencies.
+/// Number of significant digits of recorded latencies.
 const LATENCY_DIGITS: u8 = 3;
-/// The backoff stops growing after this many doublings.
+/// Largest number of times that the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 10;
 
-/// Numbers of the random streams of a run: each part draws from its own.
+/// Numbers of the random streams of a run. Each part of a run draws from its own stream.
 pub(crate) enum Stream {
     Arrivals = 1,
     Keys = 2,
@@ -33,53 +32,53 @@
     Nodes = 7,
 }
 
-/// How a node ended an attempt of a client.
+/// The reply of a node to an attempt of a client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reply {
-    /// With the value.
+    /// The value.
     Served,
-    /// With a rejection: retry after this many microseconds, 0 if it named no time.
+    /// A rejection, with the time after which to retry in microseconds; 0 if it has none.
     Rejected(Micros),
-    /// With a failure.
+    /// A failure.
     Failed,
 }
 
-/// The request of a client's attempt at a node.
+/// The node that handles a client's attempt, and the id of the request there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Assignment {
     /// The node.
     pub node: NodeId,
-    /// Id of the request there.
+    /// Id of the request at the node.
     pub request: u64,
 }
 
 /// A client whose request has not ended.
 #[derive(Debug, Clone)]
 pub struct Client {
-    /// Its class, by the index in the scenario.
+    /// Index of the request's class in the scenario.
     pub class: usize,
-    /// Its key.
+    /// The requested key.
     pub key: u64,
-    /// Work of an answer, in microseconds of the reference core.
+    /// Work of the answer, in microseconds of the reference core.
     pub work: f64,
-    /// When its first attempt was intended.
+    /// Time at which the first attempt was intended.
     pub intended_at: Micros,
-    /// The deadline that it states to nodes, over all attempts.
+    /// The deadline that the client states to nodes, over all attempts.
     pub deadline: Micros,
-    /// When it goes away, which may be before the deadline.
+    /// Time at which the client stops waiting, which may be before the deadline.
     pub leaves_at: Micros,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: u32,
-    /// Where its current attempt is.
+    /// The node and the request of the current attempt.
     pub assignment: Option<Assignment>,
 }
 
-/// The results of all clients of a run, as a report has them.
+/// The results of all clients of a run, in the form of a report.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClientResults {
     /// The service level, as in [`Counts::service`].
     pub service: f64,
-    /// Results by the name of the class.
+    /// Results by name of the class.
     pub classes: BTreeMap<String, ClassReport>,
     /// Counts by [`WINDOW`].
     pub windows: Vec<Counts>,
@@ -91,7 +90,7 @@
     latencies: Histogram<u64>,
 }
 
-/// All clients of a run, and how the requests that have ended did so.
+/// All clients of a run, and counts of the requests that have ended by how they ended.
 pub struct Clients<'a> {
     scenario: &'a Scenario,
     begin: Micros,
@@ -100,11 +99,11 @@
     /// Arrivals per second.
     rate: f64,
     popularity: Zipf<f64>,
-    /// Fraction of the requests that asks for the hot key.
+    /// Fraction of the requests that ask for the hot key.
     hot_share: f64,
-    /// Fraction of the requests that scans all keys.
+    /// Fraction of the requests that scan all keys.
     scan_share: f64,
-    /// Requests of the scan so far.
+    /// Number of requests of the scan so far.
     scanned: u64,
     arrivals: RandomStream,
     keys: RandomStream,
@@ -114,13 +113,13 @@
 }
 
 impl<'a> Clients<'a> {
-    /// The clients of a scenario, who send requests from `begin` on.
+    /// The clients of a scenario, which send requests from `begin` on.
     #[expect(
         clippy::expect_used,
         reason = "the bounds of the histogram are constants, and a scenario has at least one key and an exponent that \
                   is not negative"
     )]
-    #[expect(clippy::missing_panics_doc, reason = "it can't fail, see above")]
+    #[expect(clippy::missing_panics_doc, reason = "it can't panic, see above")]
     pub fn new(scenario: &'a Scenario, seed: u64, begin: Micros) -> Self {
         let stream = |stream: Stream| random_stream(seed, stream as u64);
         let totals = |_: &RequestClass| ClassTotals {
@@ -148,24 +147,24 @@
         }
     }
 
-    /// Requests arrive from this time on. Must be called before the first arrival.
+    /// Sets the time from which requests arrive. Must be called before the first arrival.
     pub fn set_begin(&mut self, begin: Micros) {
         self.begin = begin;
     }
 
-    /// When the next request arrives after one at `now`; `None` after the end.
+    /// The time of the next arrival after one at `now`; `None` if it would be after the end of the load.
     pub fn next_arrival(&mut self, now: Micros) -> Option<Micros> {
         let gap: f64 = Exp1.sample(&mut self.arrivals);
         let at = now + (gap / self.rate * 1e6).ceil() as Micros;
         (at < self.begin + micros(self.scenario.length)).then_some(at)
     }
 
-    /// From now on requests arrive this many times as often.
+    /// Multiplies the rate of arrivals by a factor.
     pub fn scale_rate(&mut self, factor: f64) {
         self.rate *= factor;
     }
 
-    /// A new client, whose first attempt is intended for `now`. Returns its id.
+    /// Adds a client whose first attempt is intended for `now`. Returns its id.
     pub fn new_client(&mut self, now: Micros) -> u64 {
         let id = self.next_id;
         self.next_id += 1;
@@ -213,11 +212,11 @@
 
     fn draw_key(&mut self, now: Micros) -> u64 {
         let workload = &self.scenario.load;
-        // Both are drawn in any case, so that a hot key or a scan does not shift the draws that come after it.
+        // Both are always drawn, so that a hot key or a scan does not change the random draws of later requests.
         let rank = self.popularity.sample(&mut self.keys) as u64;
         let draw = self.keys.random::<f64>();
         if draw < self.hot_share {
-            // A key in the middle of the ranks, which was not popular before.
+            // A key of middle rank, which is not popular by itself.
             return workload.keys.div_ceil(2);
         }
         if draw < self.hot_share + self.scan_share {
@@ -228,12 +227,12 @@
         (rank.max(1) - 1 + shift) % workload.keys + 1
     }
 
-    /// From now on this fraction more of the requests asks for one key; less, if it is negative.
+    /// Adds to the fraction of the requests that ask for the hot key; a negative difference reduces it.
     pub fn adjust_hot_share(&mut self, difference: f64) {
         self.hot_share += difference;
     }
 
-    /// From now on this fraction more of the requests scans all keys; less, if it is negative.
+    /// Adds to the fraction of the requests that scan all keys; a negative difference reduces it.
     pub fn adjust_scan_share(&mut self, difference: f64) {
         self.scan_share += difference;
     }
@@ -243,7 +242,7 @@
         self.open.get(&id)
     }
 
-    /// A client begins an attempt; `None` if its request has ended.
+    /// Begins an attempt of a client. Returns the client, or `None` if its request has ended.
     pub fn begin_attempt(&mut self, id: u64) -> Option<Client> {
         let client = self.open.get_mut(&id)?;
         client.attempts += 1;
@@ -252,14 +251,14 @@
         Some(client)
     }
 
-    /// A client's attempt has been given to a node, which knows it by the id `request`.
+    /// Records that a client's attempt was assigned to a node, which identifies it by the id `request`.
     pub fn assign(&mut self, id: u64, node: NodeId, request: u64) {
         if let Some(client) = self.open.get_mut(&id) {
             client.assignment = Some(Assignment { node, request });
         }
     }
 
-    /// A client is notified of a reply. Returns when it retries, or `None` if its request has ended.
+    /// Handles a reply to a client. Returns the time of the next attempt, or `None` if the request has ended.
     pub fn notified(&mut self, now: Micros, id: u64, reply: Reply) -> Option<Micros> {
         let client = self.open.get_mut(&id)?;
         client.assignment = None;
@@ -283,25 +282,26 @@
         None
     }
 
-    /// When a client retries after a reply; `None` if it does not.
+    /// The time at which a client retries after a reply; `None` if it does not retry.
     fn retry_time(&self, now: Micros, id: u64, reply: Reply) -> Option<Micros> {
         let client = self.open.get(&id)?;
         let workload = &self.scenario.load;
         let backoff = micros(workload.backoff) << (client.attempts - 1).min(MAX_BACKOFF_DOUBLINGS);
         let idempotency = self.scenario.classes[client.class].idempotency;
-        let pause = match reply {
+        let delay = match reply {
             Reply::Served => return None,
-            Reply::Rejected(pause) if pause > 0 => pause,
+            Reply::Rejected(retry_after) if retry_after > 0 => retry_after,
             Reply::Rejected(_) => backoff,
-            // It may have run.
+            // The request may have run already.
             Reply::Failed if idempotency == Idempotency::NotIdempotent => return None,
             Reply::Failed => backoff,
         };
-        let retry_at = now + pause;
+        let retry_at = now + delay;
         (client.attempts <= workload.retries && retry_at < client.leaves_at).then_some(retry_at)
     }
 
-    /// A client goes away, at its deadline or before. Returns where its current attempt is.
+    /// Ends the request of a client that stops waiting, at its deadline or before. Returns the current attempt's
+    /// assignment.
     pub fn leave(&mut self, id: u64) -> Option<Assignment> {
         let client = self.open.get(&id)?;
         let assignment = client.assignment;
@@ -323,13 +323,13 @@
         self.count(client.intended_at, |counts| counts.record(end, weight));
     }
 
-    /// Counts something for a request whose first attempt was intended at a time.
-    pub fn count(&mut self, intended_at: Micros, add: impl FnOnce(&mut Counts)) {
+    /// Updates the counts of the window in which the first attempt of a request was intended.
+    pub fn count(&mut self, intended_at: Micros, update: impl FnOnce(&mut Counts)) {
         let window = (intended_at.saturating_sub(self.begin) / WINDOW) as usize;
         if self.windows.len() <= window {
             self.windows.resize(window + 1, Counts::default());
         }
-        add(&mut self.windows[window]);
+        update(&mut self.windows[window]);
     }
 
     /// Number of clients whose requests have not ended.
@@ -337,7 +337,7 @@
         self.open.len()
     }
 
-    /// Counts of all requests so far.
+    /// The sum of the counts of all windows so far.
     pub fn totals(&self) -> Counts {
         self.windows
             .iter()
@@ -368,7 +368,7 @@
 /// Draws a log-normal factor with mean 1 and the given standard deviation.
 #[expect(
     clippy::expect_used,
-    reason = "it fails only for nan or infinity, which the validation of scenarios does not catch yet"
+    reason = "it fails only for NaN or infinity, which the validation of scenarios does not reject yet"
 )]
 pub(crate) fn log_normal_factor(deviation: f64, random: &mut RandomStream) -> f64 {
     if deviation <= 0.0 {
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -1,5 +1,6 @@
-//! Evaluates the runs of an experiment: differences between variants, paired by scenario and seed, with intervals. Paired
-//! runs share their clients, keys and faults, so that what the runs of a seed have in common cancels out.
+//! Evaluates the runs of an experiment: differences between variants with confidence intervals. Runs are paired by
+//! scenario and seed. Paired runs have the same clients, keys and faults, so that the variation between seeds cancels
+//! out.
 
 use std::collections::BTreeMap;
 
@@ -12,44 +13,45 @@
 
 /// Number of resamples of a bootstrap.
 const RESAMPLES: usize = 2_000;
-/// Fraction of the resamples' means that lies in the interval.
+/// Fraction of the resamples' means that is within the interval.
 const CONFIDENCE: f64 = 0.95;
 
-/// An interval of a mean.
+/// A confidence interval of a mean.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct Interval {
-    /// Its lower end.
+    /// The lower bound.
     pub low: f64,
-    /// Its upper end.
+    /// The upper bound.
     pub high: f64,
 }
 
 impl From<Interval> for (f64, f64) {
-    /// The form in result files.
+    /// The representation in result files.
     fn from(interval: Interval) -> Self {
         (interval.low, interval.high)
     }
 }
 
-/// A difference between two variants.
+/// The difference of a metric between two variants.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Difference {
     /// Name of the scenario.
     pub scenario: String,
     /// Name of the variant.
     pub variant: String,
-    /// Name of the variant that it is compared with: the first one.
+    /// Name of the baseline variant, which is the first one of the experiment.
     pub against: String,
-    /// What is compared: `service`, `class NAME`, or the second at which a window begins, as `5s`.
+    /// The metric: `service`, `class NAME`, or the second at which a window begins, such as `5s`. All are service
+    /// levels.
     #[serde(rename = "what")]
     pub metric: String,
     /// Number of pairs of runs.
     pub pairs: usize,
-    /// Mean of the first variant.
+    /// Mean of the baseline variant.
     #[serde(rename = "base")]
     pub baseline_mean: f64,
-    /// Mean difference.
+    /// Mean difference from the baseline variant.
     #[serde(rename = "mean")]
     pub mean_difference: f64,
     /// The 95% interval of the mean difference (percentile bootstrap over the pairs).
@@ -62,7 +64,8 @@
     other: &'a Report,
 }
 
-/// All differences of an experiment: for each scenario and variant the service level, in all, by class and by window.
+/// All differences of an experiment: for each scenario and variant the total service level and that by class and by
+/// window.
 pub fn differences(experiment: &Experiment, reports: &BTreeMap<Run, Report>) -> Vec<Difference> {
     let Some((first, others)) = experiment.variants.split_first() else {
         return Vec::new();
@@ -96,7 +99,7 @@
     differences
 }
 
-/// Two variants under one scenario.
+/// The comparison of two variants for one scenario.
 struct Comparison<'a> {
     scenario: &'a str,
     variant: &'a str,
@@ -169,7 +172,7 @@
     sum / f64::from(count)
 }
 
-/// The interval of the mean of values, by a bootstrap with the same random draws each time.
+/// The confidence interval of the mean of values, by a percentile bootstrap with a fixed seed.
 pub fn bootstrap(values: &[f64]) -> Interval {
     if values.is_empty() {
         return Interval {
@@ -184,14 +187,14 @@
     };
     let mut means: Vec<f64> = (0..RESAMPLES).map(&mut resample_mean).collect();
     means.sort_unstable_by(f64::total_cmp);
-    let quantile = |part: f64| means[((means.len() - 1) as f64 * part).round() as usize];
+    let quantile = |fraction: f64| means[((means.len() - 1) as f64 * fraction).round() as usize];
     Interval {
         low: quantile((1.0 - CONFIDENCE) / 2.0),
         high: quantile((1.0 + CONFIDENCE) / 2.0),
     }
 }
 
-/// The ranks of values, from 1. Equal values share the mean of their ranks.
+/// The ranks of values, from 1. Equal values all get the mean of their ranks.
 fn ranks(values: &[f64]) -> Vec<f64> {
     let rank = |value: &f64| {
         let below = values.iter().filter(|other| *other < value).count() as f64;
@@ -201,7 +204,7 @@
     values.iter().map(rank).collect()
 }
 
-/// Spearman's rank correlation of two series; `None` if one of them does not vary or their lengths differ.
+/// Spearman's rank correlation of two series; `None` if one of them is constant or their lengths differ.
 pub fn rank_correlation(a: &[f64], b: &[f64]) -> Option<f64> {
     let ranks_a = ranks(a);
     let ranks_b = ranks(b);
--- a/crates/testbed/src/deployment.rs
+++ b/crates/testbed/src/deployment.rs
@@ -1,5 +1,5 @@
-//! What a scenario means for a node and for each part of the cluster model, the same in both drivers: the settings text
-//! of the deployment, the configuration of servers, origin, endpoint list and network, the limits of the invariants, and
+//! Derives the deployment of a scenario, which is the same in both drivers: the settings text of the nodes, the
+//! configuration of the cluster model's servers, origin, endpoint list and network, the limits of the invariants, and
 //! the initial contents of the caches.
 
 use cluster_model::Micros;
@@ -19,30 +19,30 @@
 use crate::micros;
 use crate::scenario::{Idempotency, OriginFailure, RequestClass, Scenario, ServerKind};
 
-/// Servers drop duplicates of a request with an idempotency key for this long, in microseconds.
+/// How long servers drop duplicates of a request with an idempotency key, in microseconds.
 pub const DEDUPLICATION_WINDOW: Micros = 2_000_000;
 /// Largest number of attempts of a request.
 pub const MAX_ATTEMPTS: u32 = 4;
-/// An origin that rejected nothing for this long, in microseconds, counts as relieved.
+/// The origin counts as relieved once it has rejected no call for this long, in microseconds.
 const ORIGIN_RELIEF: Micros = 500_000;
-/// Standard deviation of the origin's work over its mean.
+/// Standard deviation of the work of a call to the origin, divided by its mean.
 pub const ORIGIN_WORK_DEVIATION: f64 = 0.3;
-/// The platform waits the longest deadline before it kills a node that was told to end, of which it counts this much at
-/// most, in microseconds,
-const KILL_LONGEST_DEADLINE: Micros = 3_000_000;
-/// and this much more.
+/// After SIGTERM the platform waits for the longest deadline before it kills a node, but for at most this time, in
+/// microseconds.
+const KILL_DEADLINE_CAP: Micros = 3_000_000;
+/// Time that the platform waits in addition to the deadline before it kills a node, in microseconds.
 const KILL_SLACK: Micros = 700_000;
-/// Largest number of keys that are cached at the beginning, the most popular first.
+/// Largest number of keys that are cached at the beginning of a run. The most popular keys are cached.
 const MAX_INITIAL_KEYS: u64 = 200_000;
-/// Deadline of the requests that find the initial place of a key, in microseconds.
+/// Deadline of the requests that determine the initial server of a key, in microseconds.
 const PLACEMENT_DEADLINE: Micros = 1_000_000;
 
-/// The zone of a node or server. They are assigned to the zones in turn.
+/// The zone of a node or server. Nodes and servers are assigned to the zones in turn.
 pub fn zone(scenario: &Scenario, number: u32) -> Zone {
     (number % u32::from(scenario.zones)) as Zone
 }
 
-/// The settings text of a node, as a deployment writes it (`crates/routing-policy/src/settings.rs`).
+/// The settings text of a node, in the format that `crates/routing-policy/src/settings.rs` reads.
 pub fn settings_text(scenario: &Scenario, node: NodeId) -> Value {
     let Scenario {
         classes,
@@ -82,14 +82,14 @@
     })
 }
 
-/// The settings of a node as the policy reads them.
+/// The settings of a node, as the policy reads them from the settings text.
 ///
 /// # Panics
-/// If a number of the scenario is nan or infinite, which has no form in the settings text and is not caught by the
-/// validation of scenarios yet.
+/// If a number of the scenario is NaN or infinite: the settings text cannot represent it, and the validation of
+/// scenarios does not reject it yet.
 #[expect(
     clippy::expect_used,
-    reason = "the text is written by settings_text and holds every key that the policy requires"
+    reason = "the text is written by settings_text and has every key that the policy requires"
 )]
 pub fn settings(scenario: &Scenario, node: NodeId) -> Settings {
     let text = settings_text(scenario, node).to_string();
@@ -121,7 +121,7 @@
     }
 }
 
-/// Mean work of the requests that cache servers get, which are reads, in microseconds of the reference core.
+/// Mean work of the requests that reach cache servers, in microseconds of the reference core. Only reads do.
 fn mean_read_work(scenario: &Scenario) -> f64 {
     let reads = || scenario.classes.iter().filter(|class| !class.write);
     let share: f64 = reads().map(|class| class.share).sum();
@@ -148,7 +148,7 @@
     Origin::new(config, now)
 }
 
-/// The model's fault for a failure of a fraction of the calls to the origin.
+/// The model's fault that makes a fraction of the calls to the origin fail.
 pub fn fault(how: OriginFailure, share: f64) -> FaultInjection {
     let fault = match how {
         OriginFailure::Late => Fault::Late,
@@ -177,7 +177,8 @@
     })
 }
 
-/// The invariants. An attempt that was in flight when its request ended may still arrive for `sent_grace` microseconds.
+/// The invariants. An attempt that was in flight when its request ended may still arrive up to `sent_grace`
+/// microseconds later.
 pub fn invariants(scenario: &Scenario, sent_grace: Micros) -> Invariants {
     Invariants::new(InvariantLimits {
         drain_grace: micros(scenario.invariants.drain_grace),
@@ -192,12 +193,12 @@
     deadlines.max().unwrap_or(0)
 }
 
-/// How soon after SIGTERM the platform may kill a node, in microseconds.
+/// The shortest time between SIGTERM and the platform's kill of a node, in microseconds.
 pub fn earliest_kill_after_terminate(scenario: &Scenario) -> Micros {
-    longest_deadline(scenario).min(KILL_LONGEST_DEADLINE) + KILL_SLACK
+    longest_deadline(scenario).min(KILL_DEADLINE_CAP) + KILL_SLACK
 }
 
-/// Whether requests of a class, by its index, may run more than once.
+/// Whether requests of a class may run more than once. `class` is its index in the scenario.
 pub fn idempotency(scenario: &Scenario, class: usize) -> ModelIdempotency {
     match scenario.classes[class].idempotency {
         Idempotency::Idempotent => ModelIdempotency::Idempotent,
@@ -208,8 +209,8 @@
     }
 }
 
-/// Keys and the servers that cache them at the beginning, the most popular last. Servers that started long ago hold what
-/// they were recently asked for, and the policy sends each key to its server while there are no faults.
+/// Keys and the servers that cache them at the beginning of a run, the most popular key last. Servers that started long
+/// ago have cached what they were recently asked for, and without faults the policy sends each key to the same server.
 pub fn initial_cache_contents(
     scenario: &Scenario,
     now: Micros,
@@ -235,7 +236,7 @@
     contents
 }
 
-/// Finds the server of each key by asking a policy of its own.
+/// Determines the server of each key with a separate instance of the policy.
 struct Placement {
     policy: Policy,
     now: Micros,
@@ -271,7 +272,7 @@
         self.policy.handle(self.now, event, &mut self.actions);
     }
 
-    /// Where the policy sends a read of a key, which is then reported as served.
+    /// The server to which the policy sends a read of a key. The read is then reported to the policy as served.
     fn server_of(&mut self, key: u64) -> Option<ServerId> {
         self.actions.clear();
         self.handle(PolicyEvent::Request(Request {
@@ -293,7 +294,7 @@
     }
 }
 
-/// An attempt's outcome without further information from the server.
+/// The outcome of an attempt without any further information from the server.
 pub fn attempt_outcome(
     request: RequestId,
     attempt: u16,
--- a/crates/testbed/src/event_queue.rs
+++ b/crates/testbed/src/event_queue.rs
@@ -1,4 +1,5 @@
-//! A queue of future events in order of time. Events at the same time come in the order in which they were scheduled.
+//! A queue of future events, ordered by time. Events at the same time are returned in the order in which they were
+//! scheduled.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -63,7 +64,7 @@
         }));
     }
 
-    /// Removes the next event, and returns it with its time.
+    /// Removes the next event and returns it with its time.
     pub(crate) fn pop(&mut self) -> Option<(Micros, E)> {
         let Reverse(next) = self.entries.pop()?;
         Some((next.at, next.event))
@@ -74,12 +75,12 @@
         self.entries.peek().map(|Reverse(next)| next.at)
     }
 
-    /// Number of events that were ever scheduled.
+    /// Total number of events scheduled so far.
     pub(crate) fn scheduled_count(&self) -> u64 {
         self.scheduled
     }
 
-    /// Whether an event that matches is scheduled.
+    /// Whether the queue has an event that matches.
     pub(crate) fn contains(&self, matches: impl Fn(&E) -> bool) -> bool {
         self.entries
             .iter()
--- a/crates/testbed/src/experiment/commit_build.rs
+++ b/crates/testbed/src/experiment/commit_build.rs
@@ -1,4 +1,4 @@
-//! Builds the node program of a commit in a work tree of its own.
+//! Builds the node program of a commit in a separate Git work tree.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
@@ -6,18 +6,18 @@
 use crate::atomic_file::copy_program;
 use crate::program::ProgramError;
 
-/// Name of the router's program.
+/// Name of the router's binary.
 const BINARY: &str = "cache-router";
-/// Its name in commits before its package had a folder of its own.
+/// Name of the binary in commits that do not have the folder `crates/cache-router`.
 const EARLIER_BINARY: &str = "spardeal-node";
 /// Subfolder of an experiment's folder for builds.
 const BUILDS: &str = "builds";
 
-/// Builds the node program of a commit, unless `folder` holds it from an earlier time. Returns its path.
+/// Builds the node program of a commit, unless `folder` contains it from an earlier build. Returns its path.
 pub(super) fn build(commit: &str, folder: &Path) -> Result<PathBuf, ProgramError> {
     let build = CommitBuild { commit };
     let hash = build.resolve()?;
-    // Cargo runs in the work tree, where a path relative to this folder would mean another.
+    // Cargo runs in the work tree, where a relative path would refer to a different folder.
     let folder = folder.canonicalize().map_err(|e| build.failed(&e))?;
     let builds = folder.join(BUILDS);
     let program = builds.join(format!("{hash}-{BINARY}"));
@@ -28,7 +28,7 @@
     let tree = builds.join(&hash);
     build.add_work_tree(&tree, &hash)?;
     let built = build.compile(&tree, &builds.join("target"), &program);
-    // A work tree that stays is removed by the next build.
+    // If the work tree can't be removed now, the next build of the commit removes it.
     let _ = build.output(
         Command::new("git")
             .args(["worktree", "remove", "--force"])
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Runs a command, and returns its output. An error tells the last line that it wrote about it.
+    /// Runs a command and returns its output. An error has the last line that the command wrote to standard error.
     fn output(&self, command: &mut Command) -> Result<Vec<u8>, ProgramError> {
         let output = command
             .stdin(Stdio::null())
@@ -74,7 +74,7 @@
     }
 
     fn add_work_tree(&self, tree: &Path, hash: &str) -> Result<(), ProgramError> {
-        // What an interrupted build has left can't be trusted.
+        // A work tree left by an interrupted build may be incomplete.
         let _ = std::fs::remove_dir_all(tree);
         self.output(Command::new("git").args(["worktree", "prune"]))?;
         self.output(
@@ -102,7 +102,7 @@
             .current_dir(tree);
         self.output(&mut command)?;
         let compiled = target.join("release").join(binary);
-        // A part of a program must not be taken for the build of this commit later.
+        // The copy is atomic: a later run must not use an incomplete file as the build of this commit.
         copy_program(&compiled, program).map_err(|e| self.failed(&e))
     }
 }
--- a/crates/testbed/src/experiment/error.rs
+++ b/crates/testbed/src/experiment/error.rs
@@ -33,7 +33,7 @@
     /// A run failed.
     #[error("{run}: {source}")]
     Run {
-        /// The run, in words.
+        /// Description of the run.
         run: String,
         /// The reason.
         source: SocketError,
@@ -41,9 +41,9 @@
     /// A file can't be written.
     #[error(transparent)]
     Write(#[from] WriteError),
-    /// The report of a run can't be written.
-    #[error("{source}; {done} of {total} runs are kept, the same command goes on with the others")]
-    NotKept {
+    /// The report of a run can't be saved.
+    #[error("{source}; {done} of {total} runs are kept, run the same command again to continue")]
+    ReportNotSaved {
         /// Number of runs that are kept.
         done: usize,
         /// Number of all runs.
@@ -51,7 +51,7 @@
         /// What failed.
         source: WriteError,
     },
-    /// A file or folder of the results can't be read or made.
+    /// A file or folder of the results can't be read or created.
     #[error("{}: {source}: {}", path.display(), advice(source))]
     File {
         /// The file.
@@ -65,7 +65,7 @@
         /// The folder.
         folder: PathBuf,
     },
-    /// It was interrupted; completed runs are kept.
+    /// The experiment was interrupted. Completed runs are kept.
     #[error(
         "interrupted: {done} of {total} plays are kept, the same command goes on with the others"
     )]
@@ -78,7 +78,7 @@
 }
 
 impl ExperimentError {
-    /// Makes an error about a file from its cause.
+    /// Creates an error about a file from its cause.
     pub(crate) fn file(path: &Path) -> impl FnOnce(std::io::Error) -> ExperimentError + use<> {
         let path = path.to_path_buf();
         move |source| ExperimentError::File { path, source }
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -1,6 +1,7 @@
-//! Experiments: scenarios, seeds and variants run against each other. This module holds the schema of an experiment's
-//! file; [`run`] runs what is missing, and [`results`] reads what is there. Runs are paired by
-//! scenario and seed, and each leaves one complete file, so that an interrupted experiment continues where it was.
+//! Experiments: every variant runs every scenario with every seed, and the variants are compared. This module defines
+//! the schema of an experiment's file. [`run`] executes the runs that have no result yet, and [`results`] reads the
+//! results. Runs are paired by scenario and seed. Each run writes one complete file, so that an interrupted experiment
+//! can be resumed.
 
 mod commit_build;
 mod error;
@@ -27,7 +28,7 @@
     /// The driver in virtual time.
     #[default]
     Virtual,
-    /// The driver on sockets, one run after another.
+    /// The driver on sockets. Its runs are sequential.
     Sockets,
 }
 
@@ -35,46 +36,46 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Scenario files, relative to the experiment's file.
+    /// Paths of scenario files, relative to the experiment's file.
     pub scenarios: Vec<PathBuf>,
-    /// Seeds; each variant runs each scenario with each seed.
+    /// The seeds. Each variant runs each scenario with each seed.
     pub seeds: Vec<u64>,
-    /// Which driver is used, unless a variant names another.
+    /// The driver of variants that do not set one.
     #[serde(default)]
     pub driver: Driver,
-    /// What is compared: all others with the first.
+    /// The variants. All others are compared with the first.
     #[serde(rename = "variant")]
     pub variants: Vec<Variant>,
 }
 
-/// One of the things that an experiment compares.
+/// One of the configurations that an experiment compares.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Variant {
     /// Its name.
     pub name: String,
-    /// A driver in place of the experiment's.
+    /// The driver, if it is not that of the experiment.
     #[serde(default)]
     pub driver: Option<Driver>,
-    /// On sockets: a node program in place of the one beside this program.
+    /// On sockets: the node program, if it is not the one in the folder of this program.
     #[serde(default)]
     pub node: Option<PathBuf>,
     /// On sockets: the commit of this repository whose node program is built and used.
     #[serde(default)]
     pub commit: Option<String>,
-    /// Values for keys of the scenarios (dotted), in place of those of the files.
+    /// Overrides of keys of the scenario files. Keys are dotted.
     #[serde(default)]
     pub set: BTreeMap<String, toml::Value>,
 }
 
 impl Experiment {
-    /// Reads an experiment's file, and checks every scenario with the values of every variant.
+    /// Reads an experiment's file and validates every scenario with the overrides of every variant.
     ///
     /// # Errors
     /// If one of them can't be read or is not valid.
     pub fn read(path: &Path) -> Result<Experiment, ExperimentError> {
         let mut experiment: Experiment =
-            router_config::read_toml(path, &[], Experiment::impossible_value)?;
+            router_config::read_toml(path, &[], Experiment::first_invalid_value)?;
         let folder = path.parent().unwrap_or(Path::new(""));
         for scenario in &mut experiment.scenarios {
             *scenario = folder.join(&*scenario);
@@ -100,7 +101,7 @@
         self.scenarios.len() * self.seeds.len() * self.variants.len()
     }
 
-    /// All runs: by scenario, then by seed, the variants of a pair next to each other.
+    /// All runs, ordered by scenario, then by seed, then by variant.
     pub fn runs(&self) -> Vec<Run> {
         let mut runs = Vec::new();
         for path in &self.scenarios {
@@ -119,14 +120,14 @@
     }
 }
 
-/// The name of a scenario, by which its runs are identified.
+/// The name of a scenario, which identifies it in its runs.
 fn scenario_name(path: &Path) -> String {
     let name = path.file_stem().unwrap_or_default();
     name.to_string_lossy().into_owned()
 }
 
 impl Variant {
-    /// Reads a scenario with this variant's values.
+    /// Reads a scenario with this variant's overrides.
     fn read_scenario(&self, path: &Path) -> Result<Scenario, ExperimentError> {
         let set = self.set.iter();
         let set: Vec<_> = set
@@ -151,21 +152,22 @@
 }
 
 impl Run {
-    /// The file of its report in a folder.
+    /// The path of the run's report in a folder.
     pub fn file(&self, folder: &Path) -> PathBuf {
         let Run {
             scenario,
             seed,
             variant,
         } = self;
-        // Names may hold characters that a file's name may not. The hash keeps names apart that differ only there.
-        let clean =
+        // Characters that are not allowed in file names are replaced. The hash distinguishes names that differ only in
+        // such characters.
+        let sanitize =
             |name: &str| name.replace(|c: char| !c.is_ascii_alphanumeric() && c != '-', "_");
         let hash = xxh3_64(format!("{scenario}\n{variant}").as_bytes()) as u16;
         folder.join(format!(
             "{}-{seed}-{}-{hash:04x}.json",
-            clean(scenario),
-            clean(variant)
+            sanitize(scenario),
+            sanitize(variant)
         ))
     }
 }
--- a/crates/testbed/src/experiment/results.rs
+++ b/crates/testbed/src/experiment/results.rs
@@ -1,4 +1,4 @@
-//! The folder of an experiment: its plan, and the reports of its runs.
+//! The folder of an experiment: the plan and the reports of its runs.
 
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
@@ -14,11 +14,12 @@
 /// Name of the plan's file.
 const PLAN_FILE: &str = "experiment.json";
 
-/// The plan of an experiment, as its folder holds it.
+/// The plan of an experiment, as stored in its folder.
 #[derive(Serialize, Deserialize)]
 struct Plan {
     experiment: Experiment,
-    /// The scenarios by variant, as they are run, so that results of a changed scenario are not mixed in.
+    /// The scenarios of each variant with its overrides. They are stored so that results of a scenario that has changed
+    /// since are not mixed with new ones.
     scenarios: BTreeMap<String, Vec<Scenario>>,
 }
 
@@ -37,8 +38,11 @@
     }
 }
 
-/// Writes the plan of an experiment into its folder, or compares it with the one that is there.
-pub(super) fn keep_plan(experiment: &Experiment, folder: &Path) -> Result<(), ExperimentError> {
+/// Writes the plan of an experiment into its folder, or checks that the plan stored there is the same.
+pub(super) fn write_or_check_plan(
+    experiment: &Experiment,
+    folder: &Path,
+) -> Result<(), ExperimentError> {
     let path = folder.join(PLAN_FILE);
     let plan = Plan::new(experiment)?;
     let text =
@@ -53,19 +57,19 @@
     }
 }
 
-/// What the file of a run holds.
+/// The content of the file of a run.
 pub(super) enum StoredReport {
-    /// There is none.
+    /// The file does not exist.
     Missing,
-    /// It is cut off or has an older form; the run is repeated.
+    /// The file is truncated or has an older format. The run is repeated.
     Incomplete,
-    /// A report.
+    /// A complete report.
     Complete(Box<Report>),
 }
 
-/// Reads the file of a run. One that can't be read is an error: it may hold a result.
+/// Reads the file of a run. If it can't be read, that is an error, because it may contain a result.
 pub(super) fn read_report(path: &Path) -> Result<StoredReport, ExperimentError> {
-    // A device can't be read to its end.
+    // A device, such as /dev/full, can't be read to its end.
     if !path.is_file() {
         return Ok(StoredReport::Missing);
     }
@@ -76,7 +80,7 @@
     })
 }
 
-/// The files in the folder of an experiment that hold no complete report. Their runs are repeated.
+/// The files in the folder of an experiment that contain no complete report. Their runs are repeated.
 ///
 /// # Errors
 /// If a file can't be read.
@@ -94,21 +98,21 @@
     Ok(incomplete)
 }
 
-/// What the folder of an experiment holds.
+/// The content of an experiment's folder.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Results {
     /// The experiment.
     pub experiment: Experiment,
     /// The reports of its runs so far.
     pub reports: BTreeMap<Run, Report>,
-    /// Files that hold no complete report.
+    /// Files that contain no complete report.
     pub incomplete: Vec<PathBuf>,
 }
 
 /// Reads the folder of an experiment.
 ///
 /// # Errors
-/// If the folder holds none, or one that can't be read.
+/// If the folder contains no experiment, or a file can't be read.
 pub fn results(folder: &Path) -> Result<Results, ExperimentError> {
     let path = folder.join(PLAN_FILE);
     let text = std::fs::read(&path).map_err(ExperimentError::file(&path))?;
--- a/crates/testbed/src/experiment/runner.rs
+++ b/crates/testbed/src/experiment/runner.rs
@@ -1,4 +1,5 @@
-//! Runs what is missing of an experiment: in virtual time on several threads, on sockets one run after another.
+//! Executes the runs of an experiment that have no result yet: on several threads in virtual time, one after another on
+//! sockets.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::path::{Path, PathBuf};
@@ -6,7 +7,7 @@
 use std::sync::{Mutex, mpsc};
 use std::time::Duration;
 
-use super::results::{StoredReport, keep_plan, read_report};
+use super::results::{StoredReport, read_report, write_or_check_plan};
 use super::{Driver, Experiment, ExperimentError, Run, Variant, commit_build, scenario_name};
 use crate::atomic_file::{create_folder, remove_leftovers};
 use crate::program::{self, ProgramError};
@@ -16,10 +17,10 @@
 use crate::sockets::{self, Options, SocketError};
 use crate::virtual_time;
 
-/// How often a run on sockets looks whether it should stop.
+/// Interval at which a run on sockets checks whether it should stop.
 const STOP_CHECK: Duration = Duration::from_millis(50);
 
-/// A run that has just been completed, and how far the experiment is.
+/// A run that has just been completed, and the progress of the experiment.
 #[derive(Debug, Clone)]
 pub struct CompletedRun {
     /// The run.
@@ -32,11 +33,12 @@
     pub total: usize,
 }
 
-/// Runs what is missing of an experiment in a folder, on this many threads. `stop` ends it after the current runs in
-/// virtual time, and at once on sockets; completed runs are kept.
+/// Executes the runs that have no complete report in a folder, on this many threads. When `stop` is set, the current
+/// runs in virtual time are still completed, and a run on sockets is aborted. Reports of completed runs are kept.
 ///
 /// # Errors
-/// If the folder holds another experiment, a program is missing, a run fails, a file can't be written, or it was stopped.
+/// If the folder belongs to another experiment, a program is missing, a run fails, a file can't be written, or it was
+/// stopped.
 pub fn run(
     experiment: &Experiment,
     folder: &Path,
@@ -46,7 +48,7 @@
 ) -> Result<(), ExperimentError> {
     create_folder(folder).map_err(ExperimentError::file(folder))?;
     remove_leftovers(folder).map_err(ExperimentError::file(folder))?;
-    keep_plan(experiment, folder)?;
+    write_or_check_plan(experiment, folder)?;
     let runs = experiment.runs();
     let total = runs.len();
     let mut missing = VecDeque::new();
@@ -96,12 +98,12 @@
         })
     }
 
-    /// Saves the report of a run. It counts as completed once its file is stable.
-    fn keep(&mut self, run: Run, report: &Report) -> Result<(), ExperimentError> {
+    /// Saves the report of a run. The run counts as completed once the file is on stable storage.
+    fn save_report(&mut self, run: Run, report: &Report) -> Result<(), ExperimentError> {
         let path = run.file(self.folder);
         report
             .save(&path)
-            .map_err(|source| ExperimentError::NotKept {
+            .map_err(|source| ExperimentError::ReportNotSaved {
                 done: self.done,
                 total: self.total,
                 source,
@@ -129,13 +131,13 @@
             for _ in 0..threads {
                 let sender = sender.clone();
                 let queue = &queue;
-                scope.spawn(move || work_in_virtual_time(experiment, queue, stop, &sender));
+                scope.spawn(move || process_queue(experiment, queue, stop, &sender));
             }
-            // Once the threads have ended, the channel ends.
+            // Without this sender, the channel is closed once all threads have ended.
             drop(sender);
             for completed in reports {
                 let (run, report) = completed?;
-                self.keep(run, &report)?;
+                self.save_report(run, &report)?;
             }
             Ok(())
         })
@@ -157,7 +159,7 @@
             programs.insert(variant.name.clone(), program.clone());
             let scenario = read_scenario(self.experiment, &run)?;
             match run_on_sockets(&scenario, run.seed, &program, self.stop) {
-                Ok(report) => self.keep(run, &report)?,
+                Ok(report) => self.save_report(run, &report)?,
                 Err(SocketError::Interrupted) => return Ok(()),
                 Err(source) => {
                     let run = format!(
@@ -172,11 +174,11 @@
     }
 }
 
-/// A run that was completed, or why it was not.
+/// A completed run with its report, or the reason why it failed.
 type Completed = Result<(Run, Report), ExperimentError>;
 
-/// Takes runs from a queue until it is empty, until `stop` is set, or until nobody receives the reports any more.
-fn work_in_virtual_time(
+/// Executes runs from a queue until the queue is empty, `stop` is set, or the receiver of the reports is gone.
+fn process_queue(
     experiment: &Experiment,
     queue: &Mutex<VecDeque<Run>>,
     stop: &AtomicBool,
@@ -201,7 +203,7 @@
     variants.find(|variant| variant.name == run.variant)
 }
 
-/// The scenario of a run, with the values of its variant.
+/// The scenario of a run, with the overrides of its variant.
 fn read_scenario(experiment: &Experiment, run: &Run) -> Result<Scenario, ExperimentError> {
     let mut scenarios = experiment.scenarios.iter();
     let path = scenarios.find(|path| scenario_name(path) == run.scenario);
@@ -226,14 +228,14 @@
     })
 }
 
-/// Runs a scenario on sockets. It is given up soon after `stop` is set.
+/// Runs a scenario on sockets. The run is aborted soon after `stop` is set.
 fn run_on_sockets(
     scenario: &Scenario,
     seed: u64,
     program: &Path,
     stop: &AtomicBool,
 ) -> Result<Report, SocketError> {
-    let system_error = |e| SocketError::io("cannot start a play", e);
+    let system_error = |e| SocketError::io("cannot start a run", e);
     let folder = tempfile::tempdir().map_err(system_error)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/testbed/src/experiment/validation.rs
+++ b/crates/testbed/src/experiment/validation.rs
@@ -1,4 +1,4 @@
-//! Checks an experiment for values that have the right type and yet are not possible.
+//! Checks an experiment for values that have the right type but are invalid.
 
 use std::collections::BTreeSet;
 
@@ -7,16 +7,17 @@
 /// Largest number of runs of one experiment.
 const MAX_RUNS: usize = 10_000;
 
-/// A key with an impossible value, and what was found and what to write, as `router_config::read_toml` takes it.
+/// The key of an invalid value, and a text with the value found and what to write, as `router_config::read_toml`
+/// expects them. `None` if the value is valid.
 type Finding = Option<(String, String)>;
 
-fn found(key: impl Into<String>, problem: impl Into<String>) -> Finding {
+fn invalid(key: impl Into<String>, problem: impl Into<String>) -> Finding {
     Some((key.into(), problem.into()))
 }
 
 impl Experiment {
-    /// The first impossible value, if there is one.
-    pub(super) fn impossible_value(&self) -> Finding {
+    /// The first invalid value, if there is one.
+    pub(super) fn first_invalid_value(&self) -> Finding {
         self.check_sizes()
             .or_else(|| self.check_scenario_names())
             .or_else(|| self.check_seeds())
@@ -30,12 +31,12 @@
             ("variant", self.variants.is_empty()),
         ];
         if let Some((key, _)) = lists.into_iter().find(|(_, is_empty)| *is_empty) {
-            return found(key, "there is none: write one or more");
+            return invalid(key, "there is none: write one or more");
         }
         let runs = self.run_count();
         if runs > MAX_RUNS {
-            let problem = format!("{runs} plays in all: write at most {MAX_RUNS}");
-            return found("seeds", problem);
+            let problem = format!("{runs} runs in total: write at most {MAX_RUNS}");
+            return invalid("seeds", problem);
         }
         None
     }
@@ -47,7 +48,7 @@
             let name = path.file_stem().unwrap_or_default();
             if !names.insert(name) {
                 let problem = format!("there are two of the name {name:?}: rename one");
-                return found(format!("scenarios.{index}"), problem);
+                return invalid(format!("scenarios.{index}"), problem);
             }
         }
         None
@@ -56,7 +57,7 @@
     fn check_seeds(&self) -> Finding {
         let mut seeds = BTreeSet::new();
         let duplicate = self.seeds.iter().find(|seed| !seeds.insert(**seed))?;
-        found("seeds", format!("found {duplicate} twice: write each once"))
+        invalid("seeds", format!("found {duplicate} twice: write each once"))
     }
 
     fn check_variants(&self) -> Finding {
@@ -65,11 +66,11 @@
             let key = |name: &str| format!("variant.{index}.{name}");
             if !names.insert(&variant.name) {
                 let problem = format!("found {:?} twice: write another", variant.name);
-                return found(key("name"), problem);
+                return invalid(key("name"), problem);
             }
             if variant.node.is_some() && variant.commit.is_some() {
                 let problem = "there is a node as well: write one of them";
-                return found(key("commit"), problem);
+                return invalid(key("commit"), problem);
             }
             let program_key = match (&variant.node, &variant.commit) {
                 (Some(_), _) => Some("node"),
@@ -80,7 +81,7 @@
                 && let Some(name) = program_key
             {
                 let problem = "a node program runs on sockets only: write driver = \"sockets\"";
-                return found(key(name), problem);
+                return invalid(key(name), problem);
             }
         }
         None
--- a/crates/testbed/src/html_report/mod.rs
+++ b/crates/testbed/src/html_report/mod.rs
@@ -1,5 +1,4 @@
-//! Writes the results of an experiment: as JSON lines, and as one HTML page that needs no other file, with its plots
-//! drawn into it.
+//! Writes the results of an experiment as JSON lines and as a self-contained HTML page with inline plots.
 
 mod page;
 mod plot;
@@ -15,12 +14,12 @@
 use crate::experiment::{ExperimentError, Results, Run, results};
 use crate::report::Report;
 
-/// Name of the file with JSON lines.
+/// Name of the file of JSON lines.
 const RESULTS_FILE: &str = "results.jsonl";
-/// Name of the page's file.
+/// Name of the file of the HTML page.
 const PAGE_FILE: &str = "report.html";
 
-/// A line of the results.
+/// A line of the JSON lines file.
 #[derive(Serialize)]
 #[serde(tag = "line", rename_all = "lowercase")]
 enum ResultLine<'a> {
@@ -33,10 +32,10 @@
     Difference(&'a Difference),
 }
 
-/// What was written.
+/// A summary of the results that were written.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Summary {
-    /// The differences.
+    /// The differences between the variants.
     pub differences: Vec<Difference>,
     /// Number of completed runs.
     pub done: usize,
@@ -44,14 +43,14 @@
     pub total: usize,
     /// Runs that violated an invariant.
     pub violations: Vec<Run>,
-    /// Files that hold no complete report; their runs are not among the completed ones.
+    /// Files that contain no complete report. Their runs do not count as completed.
     pub incomplete: Vec<PathBuf>,
 }
 
 /// Reads the runs of an experiment's folder, and writes `results.jsonl` and `report.html` into it.
 ///
 /// # Errors
-/// If the folder holds no experiment, or a file can't be read or written.
+/// If the folder contains no experiment, or a file can't be read or written.
 pub fn write(folder: &Path) -> Result<Summary, ExperimentError> {
     let Results {
         experiment,
--- a/crates/testbed/src/html_report/page.rs
+++ b/crates/testbed/src/html_report/page.rs
@@ -1,4 +1,4 @@
-//! The HTML page: for each scenario a table of the variants, and plots.
+//! The HTML page: a table of the variants and plots for each scenario.
 
 use std::collections::BTreeMap;
 
@@ -8,15 +8,15 @@
 use crate::experiment::{Experiment, Run};
 use crate::report::Report;
 
-/// What the page begins with.
+/// The beginning of the page.
 const HEAD: &str = "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>Experiment</title><style>\
      body{font:15px sans-serif;margin:2em auto;max-width:70em;padding:0 1em}table{border-collapse:collapse}\
      td,th{padding:.2em .7em;text-align:right;border-bottom:1px solid #ddd}td:first-child,th:first-child,\
      td:nth-child(2),th:nth-child(2){text-align:left}svg{margin:.3em}.off{color:#b00}</style><h1>Experiment</h1>\n";
 
-/// What each table begins with.
-const TABLE_HEAD: &str = "<table><tr><th>variant</th><th>of</th><th>plays</th><th>service</th><th>difference</th>\
-     <th>95% interval</th><th>rules broken</th></tr>\n";
+/// The beginning of each table.
+const TABLE_HEAD: &str = "<table><tr><th>variant</th><th>metric</th><th>runs</th><th>service</th><th>difference</th>\
+     <th>95% interval</th><th>invariant violations</th></tr>\n";
 
 /// The page of an experiment.
 pub(super) fn render(
@@ -26,7 +26,7 @@
 ) -> String {
     let mut page = String::from(HEAD);
     let total = experiment.run_count();
-    page += &format!("<p>{} of {total} plays are there.</p>\n", reports.len());
+    page += &format!("<p>{} of {total} runs are complete.</p>\n", reports.len());
     let mut scenarios: Vec<&str> = reports.keys().map(|run| run.scenario.as_str()).collect();
     scenarios.dedup();
     for scenario in scenarios {
@@ -76,7 +76,7 @@
     table + "</table>\n"
 }
 
-/// The row of a variant's service level, with its difference from the first variant, if it is another.
+/// The row of a variant's service level, with its difference from the first variant unless it is that one.
 fn total_row(variant: &VariantReports, difference: Option<&Difference>) -> String {
     let reports = &variant.reports;
     let name = escape(variant.variant);
@@ -88,7 +88,7 @@
     let mean = difference.map(mean_text).unwrap_or_default();
     let interval = difference.map(interval_text).unwrap_or_default();
     format!(
-        "<tr><td>{name}</td><td>all</td><td>{count}</td><td>{service:.4}</td><td>{mean}</td><td>{interval}</td>\
+        "<tr><td>{name}</td><td>service</td><td>{count}</td><td>{service:.4}</td><td>{mean}</td><td>{interval}</td>\
          <td{mark}>{violations}</td></tr>\n"
     )
 }
--- a/crates/testbed/src/html_report/plot.rs
+++ b/crates/testbed/src/html_report/plot.rs
@@ -18,7 +18,7 @@
     RGBColor(255, 127, 14),
     RGBColor(90, 90, 90),
 ];
-/// The vertical axis of a plot ends at least here.
+/// The smallest upper end of the vertical axis.
 const MIN_TOP: f64 = 1.0;
 /// Space above the highest point, as a multiple of its height.
 const TOP_MARGIN: f64 = 1.05;
@@ -48,11 +48,11 @@
 pub(super) fn plots(variants: &[VariantReports]) -> Vec<Plot> {
     vec![
         Plot {
-            title: "service by the second of the first try",
+            title: "service level by time of the first attempt in s",
             lines: lines_over_time(variants, Counts::service),
         },
         Plot {
-            title: "calls to the origin a second",
+            title: "calls to the origin per second",
             lines: lines_over_time(variants, |counts| {
                 counts.origin_calls as f64 / WINDOW_SECONDS
             }),
@@ -62,13 +62,13 @@
             lines: variants.iter().flat_map(latency_lines).collect(),
         },
         Plot {
-            title: "attempts per cache server, busiest first (first seed)",
+            title: "attempts by cache server, highest first (first seed)",
             lines: variants.iter().map(load_line).collect(),
         },
     ]
 }
 
-/// A line for each variant: the mean of a value over its runs, by window.
+/// A line for each variant: the mean of a value over the variant's runs, by window.
 fn lines_over_time(variants: &[VariantReports], value: impl Fn(&Counts) -> f64) -> Vec<Line> {
     let line = |variant: &VariantReports| {
         let reports = &variant.reports;
@@ -91,7 +91,7 @@
     variants.iter().map(line).collect()
 }
 
-/// A line for each class of a variant: the mean over its runs of each percentile of the latency.
+/// A line for each class of a variant: the mean of each latency percentile over the variant's runs.
 fn latency_lines(variant: &VariantReports) -> Vec<Line> {
     let reports = &variant.reports;
     let Some(first) = reports.first() else {
@@ -121,7 +121,7 @@
     first.classes.keys().map(line).collect()
 }
 
-/// The attempts at each cache server in the first run of a variant, the largest number first.
+/// The number of attempts at each cache server in the first run of a variant, in descending order.
 fn load_line(variant: &VariantReports) -> Line {
     let attempts = |report: &&Report| -> Vec<f64> {
         let counts = report.attempts_by_server.values();
--- a/crates/testbed/src/html_report/variant.rs
+++ b/crates/testbed/src/html_report/variant.rs
@@ -1,8 +1,8 @@
-//! What the page and its plots share: the reports of a variant, and text made safe for HTML.
+//! Shared by the page and its plots: the reports of a variant, and escaping of text for HTML.
 
 use crate::report::Report;
 
-/// The reports of a variant under one scenario, by seed.
+/// The reports of a variant for one scenario, in order of the seeds.
 pub(super) struct VariantReports<'a> {
     pub(super) variant: &'a str,
     pub(super) reports: Vec<&'a Report>,
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,12 +1,12 @@
-//! Runs a [`Scenario`]: nodes that run the routing policy against the model of a cluster. [`virtual_time::run`] is the
-//! driver in virtual time, in which one seed gives the same [`Report`] on every run; [`sockets`] is the driver in real
-//! time, with real `cache-router` processes. Clients ([`clients`]) and what a scenario means for each part of the model
-//! ([`deployment`]) are the same in both.
+//! Runs a [`Scenario`]: nodes run the routing policy against the model of a cluster. [`virtual_time::run`] is the
+//! driver in virtual time, in which a seed gives the same [`Report`] on every run. [`sockets`] is the driver in real
+//! time, with real `cache-router` processes. Both use the same clients ([`clients`]) and the same [`deployment`] of a
+//! scenario.
 //!
-//! On top of the drivers: [`experiment`] runs scenarios, seeds and variants against each other, [`compare`] and
-//! [`html_report`] evaluate them; [`atomic_file`] writes what they keep; [`fault_matrix`] compares runs with and without
-//! faults of system calls, and [`fleet_sizes`] what nodes need before fleets of several sizes; [`load`] generates load in
-//! real time, and [`baseline`] measures one node with it.
+//! Other modules build on the drivers. [`experiment`] runs every combination of scenarios, seeds and variants, and
+//! [`compare`] and [`html_report`] evaluate the results. [`atomic_file`] writes result files. [`fault_matrix`] compares
+//! runs with and without system call faults. [`fleet_sizes`] compares the resource usage of nodes in front of fleets of
+//! several sizes. [`load`] generates load in real time, and [`baseline`] uses it to measure a single node.
 
 pub mod atomic_file;
 pub mod baseline;
@@ -28,7 +28,7 @@
 pub use report::Report;
 pub use scenario::Scenario;
 
-/// A time span of a scenario in the unit of the model.
+/// Converts a time span of a scenario to the unit of the cluster model.
 fn micros(span: router_config::Span) -> cluster_model::Micros {
     span.0.as_micros() as cluster_model::Micros
 }
--- a/crates/testbed/tests/common/mod.rs
+++ b/crates/testbed/tests/common/mod.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::path::Path;
 
-/// Writes `calm.toml`, a run of one second without faults, and `quiet.toml`, the same with less load.
+/// Writes `calm.toml`, a scenario of one second without faults, and `quiet.toml`, the same with less load.
 pub fn write_scenarios(folder: &Path) {
     let calm = concat!(env!("CARGO_MANIFEST_DIR"), "/scenarios/calm.toml");
     let text = fs::read_to_string(calm)
--- a/crates/testbed/tests/compare.rs
+++ b/crates/testbed/tests/compare.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn intervals_and_rank_correlations_are_those_of_known_cases() {
+fn intervals_and_rank_correlations_match_known_values() {
     assert_eq!(bootstrap(&[0.5, 0.5, 0.5]), interval(0.5, 0.5));
     assert_eq!(bootstrap(&[]), interval(0.0, 0.0));
     let values: Vec<f64> = (0..100).map(f64::from).collect();
--- a/crates/testbed/tests/experiments.rs
+++ b/crates/testbed/tests/experiments.rs
@@ -1,4 +1,4 @@
-//! Experiments: paired runs, interrupted and continued, compared.
+//! Experiments: runs are paired, an interrupted experiment is resumed, and variants are compared.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -16,7 +16,7 @@
 use testbed::experiment::{Experiment, ExperimentError, Run, results, run};
 use testbed::html_report;
 
-/// Writes an experiment with two scenarios, two seeds and two variants, that is 8 runs.
+/// Writes an experiment with two scenarios, two seeds and two variants, which makes 8 runs.
 fn write_experiment(folder: &Path) -> PathBuf {
     write_scenarios(folder);
     let text = "scenarios = [\"calm.toml\", \"quiet.toml\"]\nseeds = [1, 2]\n\
@@ -26,19 +26,19 @@
     path
 }
 
-fn never() -> AtomicBool {
+fn stop_flag() -> AtomicBool {
     AtomicBool::new(false)
 }
 
 #[test]
-fn an_interrupted_experiment_continues_where_it_was_with_the_same_results() {
+fn an_interrupted_experiment_is_resumed_with_the_same_results() {
     let folder = tempfile::tempdir().unwrap();
     let experiment = Experiment::read(&write_experiment(folder.path())).unwrap();
-    let at_once = folder.path().join("at-once");
-    let in_parts = folder.path().join("in-parts");
-    run(&experiment, &at_once, 3, &never(), |_| ()).unwrap();
-    let stop = never();
-    let interrupted = run(&experiment, &in_parts, 1, &stop, |_| {
+    let uninterrupted = folder.path().join("at-once");
+    let resumed = folder.path().join("in-parts");
+    run(&experiment, &uninterrupted, 3, &stop_flag(), |_| ()).unwrap();
+    let stop = stop_flag();
+    let interrupted = run(&experiment, &resumed, 1, &stop, |_| {
         stop.store(true, Ordering::Relaxed);
     })
     .unwrap_err();
@@ -46,26 +46,26 @@
         panic!("{interrupted}")
     };
     assert!((1..8).contains(&done), "{done}");
-    // A run whose file is truncated, as by a full disk, is repeated.
-    let reports = results(&in_parts).unwrap().reports;
-    let first = reports.keys().next().unwrap().file(&in_parts);
+    // A run whose file was truncated, for example by a full disk, is repeated.
+    let reports = results(&resumed).unwrap().reports;
+    let first = reports.keys().next().unwrap().file(&resumed);
     fs::write(&first, &fs::read(&first).unwrap()[..40]).unwrap();
     let mut repeated = 0;
-    run(&experiment, &in_parts, 2, &never(), |_| repeated += 1).unwrap();
+    run(&experiment, &resumed, 2, &stop_flag(), |_| repeated += 1).unwrap();
     assert_eq!(repeated, 8 - done + 1);
     assert_eq!(
-        results(&at_once).unwrap().reports,
-        results(&in_parts).unwrap().reports
+        results(&uninterrupted).unwrap().reports,
+        results(&resumed).unwrap().reports
     );
-    let complete = run(&experiment, &in_parts, 2, &never(), |_| {
-        panic!("all is there")
+    let complete = run(&experiment, &resumed, 2, &stop_flag(), |_| {
+        panic!("all runs are complete")
     });
     assert_eq!(complete.ok(), Some(()));
     let other = Experiment {
         seeds: vec![9],
         ..experiment
     };
-    let rejection = run(&other, &in_parts, 1, &never(), |_| ())
+    let rejection = run(&other, &resumed, 1, &stop_flag(), |_| ())
         .unwrap_err()
         .to_string();
     assert!(
@@ -82,7 +82,7 @@
     fs::create_dir(&out).unwrap();
     let last = experiment.runs().pop().unwrap().file(&out);
     std::os::unix::fs::symlink("/dev/full", &last).unwrap();
-    let error = run(&experiment, &out, 1, &never(), |_| ())
+    let error = run(&experiment, &out, 1, &stop_flag(), |_| ())
         .unwrap_err()
         .to_string();
     assert!(
@@ -92,7 +92,7 @@
     assert_eq!(results(&out).unwrap().reports.len(), 7);
     fs::remove_file(&last).unwrap();
     let mut repeated = 0;
-    run(&experiment, &out, 1, &never(), |_| repeated += 1).unwrap();
+    run(&experiment, &out, 1, &stop_flag(), |_| repeated += 1).unwrap();
     assert_eq!(repeated, 1);
 }
 
@@ -101,7 +101,7 @@
     let folder = tempfile::tempdir().unwrap();
     let experiment = Experiment::read(&write_experiment(folder.path())).unwrap();
     let out = folder.path().join("out");
-    run(&experiment, &out, 4, &never(), |_| ()).unwrap();
+    run(&experiment, &out, 4, &stop_flag(), |_| ()).unwrap();
     let summary = html_report::write(&out).unwrap();
     assert_eq!((summary.done, summary.total), (8, 8));
     assert_eq!(summary.violations.len(), 0);
@@ -152,11 +152,11 @@
     assert!(page.contains("b &lt;slow&gt;") && !page.contains("<slow>"));
     assert!(
         !page.contains("src=") && !page.contains("href="),
-        "it needs no other file"
+        "the page refers to other files"
     );
 }
 
-/// A change that makes an experiment's file invalid, and what is said about it.
+/// A change that makes an experiment's file invalid, and the expected error message.
 struct InvalidChange {
     from: &'static str,
     to: &'static str,
--- a/crates/testbed/tests/scenarios.rs
+++ b/crates/testbed/tests/scenarios.rs
@@ -1,4 +1,5 @@
-//! Scenario files: invalid ones are rejected with the place and what to write, and a file may be based on another.
+//! Scenario files: an invalid file is rejected with the position and what to write instead, and a file may be based on
+//! another.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -14,7 +15,7 @@
 use common::write_scenarios;
 use testbed::Scenario;
 
-/// A value that is not valid, and what is said about it.
+/// A line of a valid scenario, an invalid replacement for it, and the expected error message.
 struct InvalidValue {
     line: &'static str,
     replacement: &'static str,
@@ -88,9 +89,9 @@
             message,
         } = invalid;
         let rejection = rejection(&valid.replacen(line, replacement, 1));
-        let place = format!("s.toml:{}:", line_number(line));
+        let position = format!("s.toml:{}:", line_number(line));
         assert!(
-            rejection.starts_with(&place) && rejection.contains(message),
+            rejection.starts_with(&position) && rejection.contains(message),
             "{replacement}: {rejection}"
         );
     }
@@ -131,7 +132,7 @@
         missing.contains("x.toml:1:1: base: cannot read"),
         "{missing}"
     );
-    // A mistake in the base is reported where it stands.
+    // An error in the base file is reported with its position in that file.
     let text = fs::read_to_string(folder.path().join("calm.toml")).unwrap();
     write("calm.toml", &text.replace("zipf =", "zpif ="));
     let in_base = error("quiet.toml");
