--- a/crates/testbed/src/sockets/client_connections.rs
+++ b/crates/testbed/src/sockets/client_connections.rs
@@ -1,4 +1,4 @@
-//! The client side on sockets: pooled connections to one node, and one request over one of them.
+//! Client side of a run on sockets: pooled connections to one node, and single requests on them.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -12,26 +12,27 @@
 use super::shared::lock;
 use crate::clients::Reply;
 
-/// Idle connections kept to one node at most; others are closed after their reply.
+/// Maximum number of idle connections that are kept to one node. Further connections are closed after their reply.
 const MAX_IDLE: usize = 256;
-/// Initial size of the buffer for a reply, in bytes.
+/// Initial size of the reply buffer, in bytes.
 const REPLY_BUFFER_BYTES: usize = 512;
 
-/// Why a request had no reply.
+/// The reason why a request has no reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// No connection came up: the node never had the request.
+    /// No connection could be established: the node never received the request.
     #[error("the node accepts no connection")]
     NotConnected,
-    /// An idle connection ended before a reply, and no new one came up: the node may have had the request.
+    /// An idle connection ended before a reply, and no new connection could be established. The node may have received
+    /// the request.
     #[error("an idle connection ended before a reply, and the node accepts no other")]
-    NotTaken,
-    /// The connection ended, or brought what is no reply.
+    IdleConnectionLost,
+    /// The connection ended, or the reply was invalid.
     #[error("the connection ended before a valid reply")]
     ConnectionLost,
 }
 
-/// Connections to one node; the idle ones are kept for later requests.
+/// Connections to one node. Idle connections are kept for later requests.
 #[derive(Debug)]
 pub struct ConnectionPool {
     address: SocketAddr,
@@ -39,7 +40,7 @@
 }
 
 impl ConnectionPool {
-    /// A pool without connections.
+    /// Creates a pool without connections.
     pub fn new(address: SocketAddr) -> ConnectionPool {
         ConnectionPool {
             address,
@@ -52,22 +53,22 @@
         lock(&self.idle).clear();
     }
 
-    /// Sends a command and reads its reply, which counts as served only with the value that the servers hold.
-    /// `command` is encoded when it is written, as it states the time that is left.
+    /// Sends a command and reads its reply. The reply counts as served only if it contains the value that the servers
+    /// hold. `command` is called at the time of each write, because the command states the remaining deadline.
     ///
-    /// The node may have closed an idle connection between two requests. Where one ends without a byte of a reply, the
-    /// command is sent once more on a new connection.
+    /// The node may close an idle connection between two requests. If an idle connection ends before the first byte of
+    /// a reply, the command is sent once more on a new connection.
     ///
     /// # Errors
-    /// Where the node can't be reached, ends the connection, or sends what is no reply.
+    /// Returns an error if the node can't be reached, ends the connection, or sends an invalid reply.
     pub async fn request(
         &self,
         command: impl Fn() -> BytesMut,
         value: &[u8],
     ) -> Result<Reply, RequestError> {
         let idle = lock(&self.idle).pop();
-        let unconnected = match idle {
-            Some(_) => RequestError::NotTaken,
+        let connect_error = match idle {
+            Some(_) => RequestError::IdleConnectionLost,
             None => RequestError::NotConnected,
         };
         if let Some(mut stream) = idle {
@@ -79,8 +80,8 @@
         }
         let mut stream = TcpStream::connect(self.address)
             .await
-            .map_err(|_| unconnected)?;
-        // Only a matter of speed: the connection works without.
+            .map_err(|_| connect_error)?;
+        // Best effort: TCP_NODELAY only affects latency.
         let _ = stream.set_nodelay(true);
         let frame = exchange(&mut stream, &command())
             .await
@@ -88,7 +89,7 @@
         self.finish(stream, &frame, value)
     }
 
-    /// Puts a connection back, and interprets the reply that came on it.
+    /// Returns a connection to the pool, and interprets the reply that was read from it.
     fn finish(
         &self,
         stream: TcpStream,
@@ -103,11 +104,11 @@
     }
 }
 
-/// How an exchange on a connection failed.
+/// The reason why an exchange on a connection failed.
 enum ExchangeError {
     /// The connection ended before the first byte of a reply.
     BeforeReply,
-    /// The connection ended within a reply, or the reply is no RESP.
+    /// The connection ended within a reply, or the reply is not valid RESP.
     WithinReply,
 }
 
@@ -136,14 +137,14 @@
     }
 }
 
-/// What a node's reply means to a client.
+/// Translates a node's reply into its meaning for a client.
 fn interpret(frame: &BytesFrame, value: &[u8]) -> Result<Reply, RequestError> {
     let content = match frame {
         BytesFrame::Array(items) => items.first(),
         frame => Some(frame),
     };
     if let Some(BytesFrame::BulkString(bytes)) = content {
-        // A value that no server holds is a corrupt reply: the request is lost.
+        // A value that no server holds means that the reply is corrupt, so the request is lost.
         return if bytes[..] == *value {
             Ok(Reply::Served)
         } else {
@@ -156,7 +157,7 @@
     }
 }
 
-/// `BUSY <milliseconds>` rejects a request with a time to come back after; all other errors are failures.
+/// `BUSY <milliseconds>` is a rejection that states when to retry. All other errors are failures.
 fn interpret_error(line: &str) -> Reply {
     let mut words = line.split(' ');
     if words.next() != Some("BUSY") {
--- a/crates/testbed/src/sockets/clock.rs
+++ b/crates/testbed/src/sockets/clock.rs
@@ -1,10 +1,10 @@
-//! The clock of a run: Unix time, as the endpoint list's `since_ms` requires, that never goes back.
+//! The clock of a run. It reads Unix time, as the endpoint list's `since_ms` requires, and never goes backwards.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use cluster_model::Micros;
 
-/// Unix time at the start of a run, continued by the monotonic clock.
+/// Unix time at the start of a run, advanced by the monotonic clock.
 #[derive(Debug)]
 pub struct Clock {
     unix_start: Micros,
@@ -12,7 +12,7 @@
 }
 
 impl Clock {
-    /// A clock that starts at the system's present time.
+    /// Starts a clock at the current system time.
     pub fn start() -> Clock {
         let unix_start = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -29,12 +29,12 @@
         self.unix_start
     }
 
-    /// Unix time now, in microseconds.
+    /// Current Unix time, in microseconds.
     pub fn now(&self) -> Micros {
         self.unix_start + self.started.elapsed().as_micros() as Micros
     }
 
-    /// The instant of a Unix time in microseconds; the start for a time before it.
+    /// Converts a Unix time in microseconds to an instant. A time before the start of the run becomes the start.
     pub fn instant(&self, at: Micros) -> tokio::time::Instant {
         let since_start = Duration::from_micros(at.saturating_sub(self.unix_start));
         (self.started + since_start).into()
--- a/crates/testbed/src/sockets/cluster/attempts.rs
+++ b/crates/testbed/src/sockets/cluster/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: what nodes send to cache servers and to the origin for a request, and the replies that they get.
+//! Attempts: the calls that nodes send to cache servers and to the origin for a request, and the replies to them.
 
 use cluster_model::endpoint_list::NodeId;
 use cluster_model::machine::JobId;
@@ -13,27 +13,27 @@
 use crate::deployment::{self, ORIGIN_WORK_DEVIATION};
 use crate::micros;
 
-/// The origin's number among the servers, as the invariants count them.
+/// The origin's server number in the invariants.
 const ORIGIN_NUMBER: ServerNumber = 0;
-/// Cache servers that store a fetched value at most: those that missed first.
-const MAX_STORES: usize = 2;
+/// Maximum number of cache servers that store a fetched value: the first ones that missed.
+const MAX_STORING_SERVERS: usize = 2;
 
-/// What a cache server or the origin replies to an attempt.
+/// The reply of a cache server or the origin to an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptReply {
     /// The value.
     Value,
-    /// The server lacks the key.
+    /// The server does not hold the key.
     Miss,
-    /// The attempt was rejected unprocessed.
+    /// The attempt was rejected without being processed.
     Busy,
     /// The origin failed, and the attempt may have run.
     Failed,
-    /// The process has died, or the connection is reset.
+    /// The process has died, or the connection was reset.
     ConnectionReset,
-    /// No reply, while the connection stays.
+    /// No reply is sent, and the connection stays open.
     Nothing,
-    /// Bytes that are no reply.
+    /// Invalid bytes are sent in place of a reply.
     Corrupt,
 }
 
@@ -51,21 +51,21 @@
 /// An attempt as a cache server or the origin receives it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReceivedAttempt {
-    /// The request that it is for.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// How much time is left, by what the node says, in microseconds.
+    /// The remaining deadline that the node states, in microseconds.
     pub remaining: Option<Micros>,
 }
 
-/// An attempt whose reply a connection waits for.
+/// An attempt that has no reply yet.
 pub struct PendingAttempt {
-    /// Names it, for [`ClusterState::cancel_attempt`].
+    /// Identifies the attempt for [`ClusterState::cancel_attempt`].
     pub job: JobId,
-    /// Brings its reply.
+    /// Receives the reply.
     pub reply: oneshot::Receiver<AttemptReply>,
 }
 
-/// An attempt that a cache server or the origin works on.
+/// An attempt that a cache server or the origin is processing.
 pub(super) struct Job {
     /// `None` for the origin.
     server: Option<ServerNumber>,
@@ -74,14 +74,14 @@
     reply: oneshot::Sender<AttemptReply>,
 }
 
-/// An attempt as its node numbered it.
+/// An attempt, identified by its node and its number within the request.
 struct SentAttempt {
     node: NodeId,
     attempt: u16,
 }
 
 impl ClusterState {
-    /// An attempt of a request reaches a cache server; `None` where the request is not known.
+    /// Handles an attempt that arrives at a cache server. Returns `None` if the request is unknown.
     pub fn attempt_at_server(
         &mut self,
         now: Micros,
@@ -120,7 +120,7 @@
         Some(pending)
     }
 
-    /// An attempt of a request reaches the origin; `None` where the request is not known.
+    /// Handles an attempt that arrives at the origin. Returns `None` if the request is unknown.
     pub fn attempt_at_origin(
         &mut self,
         now: Micros,
@@ -147,7 +147,8 @@
         Some(pending)
     }
 
-    /// The connection of an attempt has ended before its reply. The origin works on regardless.
+    /// Handles the end of an attempt's connection before its reply. The origin processes its attempts to the end
+    /// regardless.
     pub fn cancel_attempt(&mut self, now: Micros, job: JobId) {
         let server = self.jobs.get(&job).and_then(|job| job.server);
         let Some(server) = server.and_then(|number| self.servers.get_mut(&number)) else {
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Resets the connections of all these attempts.
+    /// Resets the connections of these attempts.
     pub(super) fn reset_all(&mut self, now: Micros, jobs: Vec<JobId>) {
         for job in jobs {
             self.complete(now, job, AttemptReply::ConnectionReset);
@@ -197,7 +198,7 @@
         self.events.counted.push(CountedEvent { intended_at, kind });
     }
 
-    /// A cache server has died of overload, and what it had in flight is lost.
+    /// Handles the collapse of an overloaded cache server: its attempts in flight are lost.
     fn server_collapsed(&mut self, now: Micros, number: ServerNumber, lost: Vec<JobId>) {
         let collapse = self
             .servers
@@ -210,7 +211,7 @@
         self.events.collapsed.push(number);
     }
 
-    /// Numbers an attempt, and tells the invariants when it was sent and how much time it says is left.
+    /// Numbers an attempt, and reports to the invariants when it was sent and which remaining deadline it states.
     fn record_sent(
         &mut self,
         now: Micros,
@@ -227,24 +228,24 @@
         let server_zone = self
             .servers
             .get(&server)
-            .map_or(node_zone, |server| server.site.zone);
+            .map_or(node_zone, |server| server.placement.zone);
         let network = &self.scenario.network;
-        // It was sent before it arrived.
+        // The attempt was sent earlier than it arrived, by the network delay.
         let sent_at = if node_zone == server_zone {
             now - micros(network.same_zone)
         } else {
             let sent_at = now - micros(network.cross_zone);
-            self.cuts
+            self.isolations
                 .earliest_send(now, [node_zone, server_zone], sent_at, begun_at)
         };
         self.invariants
             .sent(sent_at, (node, request), attempt, server);
         if let Some(remaining) = received.remaining {
             let unread_time = self.suspensions.unread_time(now, node, begun_at);
-            // Also where the whole deadline has passed meanwhile.
-            let by_the_node = sent_at.saturating_sub(unread_time);
+            // This also holds if the whole deadline passed while the request was unread.
+            let apparent_sent_at = sent_at.saturating_sub(unread_time);
             self.invariants
-                .told_deadline(by_the_node, (node, request), remaining);
+                .told_deadline(apparent_sent_at, (node, request), remaining);
         }
         Some(SentAttempt { node, attempt })
     }
@@ -270,7 +271,7 @@
         }
     }
 
-    /// An attempt has its reply, which the network may still break.
+    /// Sends the reply to an attempt. An injected network fault may damage or drop it.
     fn complete(&mut self, now: Micros, job: JobId, reply: AttemptReply) {
         let Some(job) = self.jobs.remove(&job) else {
             return;
@@ -290,7 +291,7 @@
             Delivery::Corrupted => AttemptReply::Corrupt,
             Delivery::Reset => AttemptReply::ConnectionReset,
         };
-        // The connection that waited may have ended meanwhile.
+        // The connection that waits for the reply may have ended.
         let _ = job.reply.send(delivered);
         let never_ran = matches!(delivered, AttemptReply::Miss | AttemptReply::Busy);
         self.attempt_ended(now, job.request, job.attempt, never_ran);
@@ -304,10 +305,11 @@
         if never_ran {
             self.invariants.never_ran((open.node, request), attempt);
         }
-        self.forget_if_over(now, request);
+        self.forget_if_expired(now, request);
     }
 
-    /// The origin has answered: a value that was read is stored where it missed, a write invalidates all copies.
+    /// Applies the effect of an origin response on the caches. A value that was read is stored at servers that missed
+    /// it; a write removes the key from all servers.
     fn origin_answered(&mut self, now: Micros, request: RequestId) {
         let Some(open) = self.requests.get(&request) else {
             return;
@@ -319,7 +321,7 @@
             return;
         }
         let value_bytes = self.scenario.load.value_bytes;
-        for number in open.missed_at.iter().take(MAX_STORES) {
+        for number in open.missed_at.iter().take(MAX_STORING_SERVERS) {
             let server = self.servers.get_mut(number);
             if let Some(server) = server.filter(|server| server.cache.is_running()) {
                 server.cache.memory().store(now, open.key, value_bytes);
--- a/crates/testbed/src/sockets/cluster/cuts.rs
+++ b/crates/testbed/src/sockets/cluster/cuts.rs
@@ -1,49 +1,49 @@
-//! When zones were cut off from the others. Bytes that a cut holds back arrive after it, so that an attempt may have
-//! been sent long before it arrives.
+//! Records when zones were isolated from the others. Bytes that are held back during the isolation arrive after it, so
+//! an attempt may have been sent long before it arrives.
 
 use std::collections::BTreeMap;
 
 use cluster_model::Micros;
 use cluster_model::network::Zone;
 
-/// What a cut has held back arrives within this time of its end, in microseconds.
-const BACKLOG_DRAIN: Micros = 500_000;
+/// Bytes that were held back arrive within this time of the end of the isolation, in microseconds.
+const BACKLOG_DRAIN_TIME: Micros = 500_000;
 
-/// The latest cut of a zone.
+/// The latest isolation of a zone.
 #[derive(Debug, Clone, Copy)]
-struct Cut {
+struct Isolation {
     began_at: Micros,
-    /// In the far future while the cut lasts.
+    /// Far in the future while the zone is still isolated.
     healed_at: Micros,
 }
 
-/// The latest cut of each zone.
+/// The latest isolation of each zone.
 #[derive(Debug, Default)]
-pub(super) struct ZoneCuts {
-    latest: BTreeMap<Zone, Cut>,
+pub(super) struct ZoneIsolations {
+    latest: BTreeMap<Zone, Isolation>,
 }
 
-impl ZoneCuts {
-    /// A zone is cut off from the others.
+impl ZoneIsolations {
+    /// A zone is isolated from the others.
     pub(super) fn begin(&mut self, now: Micros, zone: Zone) {
-        let cut = Cut {
+        let isolation = Isolation {
             began_at: now,
-            healed_at: Micros::MAX - BACKLOG_DRAIN,
+            healed_at: Micros::MAX - BACKLOG_DRAIN_TIME,
         };
-        self.latest.insert(zone, cut);
+        self.latest.insert(zone, isolation);
     }
 
-    /// A zone is reached again.
+    /// A zone can be reached again.
     pub(super) fn heal(&mut self, now: Micros, zone: Zone) {
-        let cut = self.latest.entry(zone).or_insert(Cut {
+        let isolation = self.latest.entry(zone).or_insert(Isolation {
             began_at: now,
             healed_at: now,
         });
-        cut.healed_at = now;
+        isolation.healed_at = now;
     }
 
-    /// The earliest time that an attempt between zones may have been sent, where it arrived now after the usual delay
-    /// since `sent_at`, for a request that began at `begun_at`.
+    /// Returns the earliest time at which an attempt that arrives now may have been sent. `sent_at` is its arrival time
+    /// minus the usual network delay, and `begun_at` is when its request began.
     pub(super) fn earliest_send(
         &self,
         now: Micros,
@@ -51,10 +51,11 @@
         sent_at: Micros,
         begun_at: Micros,
     ) -> Micros {
-        let cuts = zones.iter().filter_map(|zone| self.latest.get(zone));
-        cuts.filter(|cut| now < cut.healed_at + BACKLOG_DRAIN)
-            .fold(sent_at, |sent_at, cut| {
-                sent_at.min(begun_at.max(cut.began_at))
+        let isolations = zones.iter().filter_map(|zone| self.latest.get(zone));
+        isolations
+            .filter(|isolation| now < isolation.healed_at + BACKLOG_DRAIN_TIME)
+            .fold(sent_at, |sent_at, isolation| {
+                sent_at.min(begun_at.max(isolation.began_at))
             })
     }
 }
--- a/crates/testbed/src/sockets/cluster/discovery.rs
+++ b/crates/testbed/src/sockets/cluster/discovery.rs
@@ -1,5 +1,5 @@
-//! The discovery service's state: the endpoint list, the calls and watches that nodes have open, and what each node
-//! holds of the list.
+//! State of the discovery service: the endpoint list, the open call or watch of each node, and the list that each node
+//! holds.
 
 use std::collections::BTreeMap;
 
@@ -13,19 +13,20 @@
 
 use super::{ClusterState, ServerNumber};
 
-/// Messages that wait to be written to one watch at most; a watch that is slower is ended and has to begin anew.
-const MAX_UNWRITTEN: usize = 64;
+/// Maximum number of messages that are queued for one watch. A watch that falls behind further is ended, and the node
+/// has to open a new one.
+const MAX_QUEUED_MESSAGES: usize = 64;
 
-/// What a node holds of the endpoint list.
+/// The endpoint list that a node holds.
 #[derive(Debug, Clone)]
 pub struct HeldList {
-    /// Its version.
+    /// Version of the list.
     pub version: u64,
-    /// Its cache servers.
+    /// Cache servers in the list.
     pub records: Vec<EndpointRecord>,
 }
 
-/// What was written to a node of the endpoint list.
+/// The part of the endpoint list that was written to a node.
 #[derive(Debug, Default)]
 struct WrittenList {
     version: u64,
@@ -35,8 +36,8 @@
 /// The discovery service.
 pub(super) struct Discovery {
     list: EndpointList,
-    /// Who waits for messages: the call or watch that each node has open.
-    waiting: BTreeMap<NodeId, mpsc::Sender<ListResponse>>,
+    /// The open call or watch of each node, which waits for messages.
+    open_calls: BTreeMap<NodeId, mpsc::Sender<ListResponse>>,
     written: BTreeMap<NodeId, WrittenList>,
 }
 
@@ -47,12 +48,12 @@
     ) -> Discovery {
         Discovery {
             list: EndpointList::new(config, servers),
-            waiting: BTreeMap::new(),
+            open_calls: BTreeMap::new(),
             written: BTreeMap::new(),
         }
     }
 
-    /// Whether a server's latest start was written to a node.
+    /// Returns whether a server's latest start was written to a node.
     fn start_was_written(&self, node: NodeId, server: ServerNumber, started: Micros) -> bool {
         let written = self.written.get(&node);
         written
@@ -60,7 +61,7 @@
             .is_some_and(|record| record.started >= started)
     }
 
-    /// When [`Discovery::run_due`] has something to do.
+    /// Returns the time of the next work for [`Discovery::run_due`].
     pub(super) fn next_due(&self) -> Option<Micros> {
         self.list.next_event_at()
     }
@@ -70,9 +71,9 @@
         self.notify_all(messages);
     }
 
-    /// A node's process has ended, and its call or watch with it.
+    /// A node's process has ended, which ends its call or watch.
     pub(super) fn disconnect(&mut self, node: NodeId) {
-        self.waiting.remove(&node);
+        self.open_calls.remove(&node);
         self.list.disconnect(node);
     }
 
@@ -85,22 +86,26 @@
         if self.list.call(now, node, call).is_some() {
             return None;
         }
-        let (sender, messages) = mpsc::channel(MAX_UNWRITTEN);
-        self.waiting.insert(node, sender);
+        let (sender, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        self.open_calls.insert(node, sender);
         Some(messages)
     }
 
-    fn hang_up(&mut self, node: NodeId) {
-        if self.waiting.get(&node).is_some_and(mpsc::Sender::is_closed) {
+    fn close_call(&mut self, node: NodeId) {
+        if self
+            .open_calls
+            .get(&node)
+            .is_some_and(mpsc::Sender::is_closed)
+        {
             self.disconnect(node);
         }
     }
 
-    /// Queues a message to a node. A call that failed ends, and so does a watch that is too slow.
+    /// Queues a message for a node. Ends a call that failed and a watch that is too slow.
     fn notify(&mut self, node: NodeId, message: ListResponse) {
         let failed = message == ListResponse::Failed;
         let queued = self
-            .waiting
+            .open_calls
             .get(&node)
             .is_some_and(|sender| sender.try_send(message).is_ok());
         if failed || !queued {
@@ -114,7 +119,7 @@
         }
     }
 
-    /// Records that a message was written to a node, and tells the invariants what the node knows by it.
+    /// Records that a message was written to a node, and reports to the invariants what the node now knows.
     fn record_written(
         &mut self,
         now: Micros,
@@ -148,7 +153,7 @@
         notify_invariants(now, node, records, invariants);
     }
 
-    /// What a node held when its last process ended; the complete list for its first process.
+    /// Returns the list that a node held when its last process ended, or the complete list for its first process.
     fn held_by(&mut self, node: NodeId) -> HeldList {
         let complete_list = || WrittenList {
             version: self.list.version(),
@@ -167,7 +172,7 @@
     }
 }
 
-/// Tells the invariants what a node knows of cache servers.
+/// Reports to the invariants what a node knows about cache servers.
 fn notify_invariants(
     now: Micros,
     node: NodeId,
@@ -181,8 +186,8 @@
 }
 
 impl ClusterState {
-    /// A node calls the discovery service. Messages come through the channel, which ends with the call or watch; `None`
-    /// where the call fails at once.
+    /// Handles a call of a node to the discovery service. Messages arrive on the returned channel, which closes when
+    /// the call or watch ends. Returns `None` if the call fails at once.
     pub fn call_discovery(
         &mut self,
         now: Micros,
@@ -192,25 +197,25 @@
         self.discovery.call(now, node, call)
     }
 
-    /// A node has ended its call or watch, unless it has begun another since.
-    pub fn hang_up_discovery(&mut self, node: NodeId) {
-        self.discovery.hang_up(node);
+    /// A node has closed its call or watch. If it has opened another one since, that one stays open.
+    pub fn close_discovery_call(&mut self, node: NodeId) {
+        self.discovery.close_call(node);
     }
 
-    /// An endpoint list or a change of it was written to a node.
+    /// An endpoint list, or a change to it, was written to a node.
     pub fn discovery_written(&mut self, now: Micros, node: NodeId, message: &ListResponse) {
         self.discovery
             .record_written(now, node, message, &mut self.invariants);
     }
 
-    /// A node's process starts with the endpoint list that the process before it held.
+    /// Starts a node's process with the endpoint list that its previous process held.
     pub fn begin_node(&mut self, now: Micros, node: NodeId) -> HeldList {
         let held = self.discovery.held_by(node);
         notify_invariants(now, node, &held.records, &mut self.invariants);
         held
     }
 
-    /// The discovery service learns the condition of a cache server.
+    /// The discovery service learns a cache server's condition.
     pub fn endpoint_changed(&mut self, now: Micros, record: EndpointRecord) {
         let ready = record.condition == Condition::Ready;
         self.invariants.readiness_known(now, record.server, ready);
@@ -220,14 +225,14 @@
         }
     }
 
-    /// The discovery service moves to other addresses: all calls and watches end, and the versions that nodes hold mean
-    /// nothing to the new service.
+    /// Moves the discovery service to other addresses. All calls and watches end, and the new service does not
+    /// recognise the versions that nodes hold.
     pub fn move_discovery(&mut self) {
         let messages = self.discovery.list.relocate();
         self.discovery.notify_all(messages);
     }
 
-    /// Whether a node knows of a server's latest start, or counts as notified of it.
+    /// Returns whether a node knows of a server's latest start, or counts as notified of it.
     pub(super) fn knows_start(
         &self,
         now: Micros,
@@ -239,7 +244,7 @@
             || self.invariants.start_counts_as_notified(now, server)
     }
 
-    /// The discovery service goes down or comes back.
+    /// The discovery service becomes unavailable or available again.
     pub fn set_discovery_up(&mut self, now: Micros, up: bool) {
         self.invariants.discovery_reachable(now, up);
         let messages = self.discovery.list.set_available(now, up);
--- a/crates/testbed/src/sockets/cluster/mod.rs
+++ b/crates/testbed/src/sockets/cluster/mod.rs
@@ -1,7 +1,7 @@
-//! The state of the emulated cluster: cache servers, origin, discovery and the protocol's invariants, with the attempts
-//! that wait for a reply. It knows no sockets; the emulated services report to it what they receive.
+//! State of the emulated cluster: cache servers, origin, discovery, the protocol's invariants, and the attempts that
+//! wait for a reply. This module has no sockets; the emulated services report to it what they receive.
 //!
-//! Times are Unix microseconds. One lock guards the whole state (`SharedCluster`), so nothing here waits.
+//! Times are Unix microseconds. One lock guards the whole state (`SharedCluster`), so nothing in this module blocks.
 
 mod attempts;
 mod cuts;
@@ -27,38 +27,38 @@
 use crate::deployment;
 use crate::scenario::Scenario;
 use attempts::Job;
-use cuts::ZoneCuts;
+use cuts::ZoneIsolations;
 use discovery::Discovery;
 use requests::OpenRequest;
 pub use suspensions::HEARTBEAT_INTERVAL;
 use suspensions::Suspensions;
 
-/// The number of a cache server; they count from 1.
+/// The number of a cache server, counted from 1.
 pub type ServerNumber = u32;
 /// The number of a request, which is one attempt of a client at one node.
 pub type RequestId = u64;
 
-/// How long, in microseconds, an attempt may arrive after the end of its request: it was under way on a socket.
-const SENT_GRACE: Micros = 50_000;
-/// Offset of random streams that must differ from those of the driver in virtual time.
+/// An attempt may arrive this long after the end of its request, in microseconds, because it was in transit on a
+/// socket.
+const TRANSIT_GRACE: Micros = 50_000;
+/// Offset of the random streams that must differ from those of the virtual-time driver.
 pub const SOCKETS_STREAM_OFFSET: u64 = 100;
 
-/// A cache server.
 struct Server {
     cache: CacheServer,
-    site: ServerSite,
+    placement: ServerPlacement,
 }
 
-/// What a cache server is and where it stands.
+/// Kind and zone of a cache server.
 #[derive(Debug, Clone, Copy)]
-pub struct ServerSite {
-    /// Its kind, by the place in the scenario.
+pub struct ServerPlacement {
+    /// Index of its kind in the scenario.
     pub kind: usize,
     /// Its zone.
     pub zone: Zone,
 }
 
-/// Something that clients' reports count.
+/// The kind of an event that counts in the clients' reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CountedKind {
     /// An attempt at a cache server.
@@ -69,19 +69,19 @@
     OriginCall,
 }
 
-/// Something counted for a client's request.
+/// An event that is counted for a client's request.
 #[derive(Debug, Clone, Copy)]
 pub struct CountedEvent {
-    /// When the client was meant to arrive.
+    /// Intended arrival time of the client.
     pub intended_at: Micros,
-    /// What is counted.
+    /// Kind of the event.
     pub kind: CountedKind,
 }
 
-/// What has happened in the cluster since the driver last asked.
+/// Events since the driver last took them.
 #[derive(Debug, Default)]
 pub struct ClusterEvents {
-    /// What clients' reports count.
+    /// Events that count in the clients' reports.
     pub counted: Vec<CountedEvent>,
     /// Cache servers whose processes have died of overload.
     pub collapsed: Vec<ServerNumber>,
@@ -92,7 +92,7 @@
     scenario: Scenario,
     servers: BTreeMap<ServerNumber, Server>,
     origin: Origin,
-    /// Decides which replies break; delays and cuts are the links' part.
+    /// Decides which replies are damaged. Delays and isolated zones are simulated by the links instead.
     network: Network,
     discovery: Discovery,
     invariants: Invariants,
@@ -101,7 +101,7 @@
     request_retention: Micros,
     jobs: BTreeMap<JobId, Job>,
     last_job: JobId,
-    cuts: ZoneCuts,
+    isolations: ZoneIsolations,
     suspensions: Suspensions,
     work_random: RandomStream,
     fault_random: RandomStream,
@@ -110,7 +110,7 @@
 }
 
 impl ClusterState {
-    /// The cluster of a scenario, running since long ago.
+    /// Creates the cluster of a scenario, with servers that have been running for a long time.
     pub fn new(scenario: &Scenario, seed: u64, now: Micros) -> ClusterState {
         let servers = initial_servers(scenario, now);
         ClusterState {
@@ -118,12 +118,12 @@
             discovery: Discovery::new(deployment::endpoint_list(scenario), servers.keys().copied()),
             servers,
             origin: deployment::origin(scenario, now),
-            invariants: deployment::invariants(scenario, SENT_GRACE),
+            invariants: deployment::invariants(scenario, TRANSIT_GRACE),
             requests: BTreeMap::new(),
             request_retention: requests::retention(scenario),
             jobs: BTreeMap::new(),
             last_job: 0,
-            cuts: ZoneCuts::default(),
+            isolations: ZoneIsolations::default(),
             suspensions: Suspensions::default(),
             work_random: random_stream(seed, Stream::Work as u64 + SOCKETS_STREAM_OFFSET),
             fault_random: random_stream(seed, Stream::Faults as u64),
@@ -133,24 +133,24 @@
         }
     }
 
-    /// The numbers of all cache servers, in order.
+    /// The numbers of all cache servers, in ascending order.
     pub fn server_numbers(&self) -> Vec<ServerNumber> {
         self.servers.keys().copied().collect()
     }
 
-    /// What a cache server is and where it stands.
-    pub fn server_site(&self, number: ServerNumber) -> Option<ServerSite> {
-        self.servers.get(&number).map(|server| server.site)
+    /// Kind and zone of a cache server.
+    pub fn server_placement(&self, number: ServerNumber) -> Option<ServerPlacement> {
+        self.servers.get(&number).map(|server| server.placement)
     }
 
-    /// Whether a cache server's process runs.
+    /// Returns whether a cache server's process is running.
     pub fn is_server_up(&self, number: ServerNumber) -> bool {
         self.servers
             .get(&number)
             .is_some_and(|server| server.cache.is_running())
     }
 
-    /// How many cache servers run.
+    /// Number of running cache servers.
     pub fn servers_up(&self) -> usize {
         self.servers
             .values()
@@ -158,23 +158,23 @@
             .count()
     }
 
-    /// What has happened since the last call.
+    /// Returns the events since the last call.
     pub fn take_events(&mut self) -> ClusterEvents {
         std::mem::take(&mut self.events)
     }
 
-    /// Attempts at each cache server so far, which are reset.
+    /// Returns the number of attempts at each cache server, and resets the counts.
     pub fn take_attempts_by_server(&mut self) -> BTreeMap<ServerNumber, u64> {
         std::mem::take(&mut self.attempts_by_server)
     }
 
-    /// The run ends: checks what is still owed, and returns the invariants with their violations.
+    /// Ends the run: checks for unanswered requests, and returns the invariants with their violations.
     pub fn end(&mut self, now: Micros) -> &Invariants {
         self.invariants.finish(now);
         &self.invariants
     }
 
-    /// The invariants with the violations so far.
+    /// The invariants, with the violations so far.
     pub fn invariants(&self) -> &Invariants {
         &self.invariants
     }
@@ -185,13 +185,13 @@
         self.invariants.paused(now, node);
     }
 
-    /// A node's process goes on after a pause.
+    /// A node's process resumed after a pause.
     pub fn node_resumed(&mut self, now: Micros, node: NodeId) {
         self.suspensions.resumed(now, node);
         self.invariants.resumed(now, node);
     }
 
-    /// When something is due next.
+    /// Returns the time of the next work for [`ClusterState::run_due`].
     pub fn next_due(&self) -> Option<Micros> {
         let servers = self
             .servers
@@ -203,7 +203,7 @@
             .min()
     }
 
-    /// Makes all happen that is due by now.
+    /// Performs all work that is due by now.
     pub fn run_due(&mut self, now: Micros) {
         for number in self.server_numbers() {
             self.run_due_at_server(now, number);
@@ -221,7 +221,7 @@
             let zone = deployment::zone(scenario, number);
             let server = Server {
                 cache: CacheServer::new(deployment::cache_server(scenario, spec), 0, now),
-                site: ServerSite { kind, zone },
+                placement: ServerPlacement { kind, zone },
             };
             servers.insert(number, server);
         }
@@ -229,7 +229,7 @@
     servers
 }
 
-/// A cache server's name in the endpoint list.
+/// Returns a cache server's name in the endpoint list.
 pub fn server_name(number: ServerNumber) -> String {
     format!("s-{number}")
 }
--- a/crates/testbed/src/sockets/cluster/suspensions.rs
+++ b/crates/testbed/src/sockets/cluster/suspensions.rs
@@ -1,21 +1,21 @@
-//! Times in which a node's process or the testbed's own did not run. A request that came meanwhile was read only after
-//! it, so that a node can't know how much of the client's time had passed by then.
+//! Records when a node's process or the testbed itself was suspended. A node reads a request that arrives meanwhile
+//! only afterwards, so it can't know how much of the client's deadline had passed by then.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use cluster_model::Micros;
 use cluster_model::endpoint_list::NodeId;
 
-use super::{ClusterState, SENT_GRACE};
+use super::{ClusterState, TRANSIT_GRACE};
 
-/// The testbed shows that it runs this often, in microseconds.
+/// Interval at which the testbed records that it is running, in microseconds.
 pub const HEARTBEAT_INTERVAL: Micros = 10_000;
-/// A heartbeat that is later than this, in microseconds, shows a stall.
+/// A heartbeat that is later than this, in microseconds, indicates a stall of the testbed.
 const MAX_HEARTBEAT_DELAY: Micros = 20_000;
-/// Stalls that are remembered at most; the earliest are forgotten.
+/// Maximum number of stalls that are remembered. The oldest are forgotten first.
 const MAX_STALLS: usize = 1_000;
 
-/// A time in which something did not run.
+/// A time span in which a process was suspended.
 #[derive(Debug, Clone, Copy)]
 struct Interval {
     from: Micros,
@@ -23,17 +23,17 @@
 }
 
 impl Interval {
-    /// How much of it is after a time.
+    /// Returns how much of the interval lies after a time.
     fn length_after(self, time: Micros) -> Micros {
         self.until.saturating_sub(self.from.max(time))
     }
 }
 
-/// The times in which nodes or the testbed did not run.
+/// The suspensions of the nodes and of the testbed.
 #[derive(Debug, Default)]
 pub(super) struct Suspensions {
     paused_since: BTreeMap<NodeId, Micros>,
-    /// The latest pause of each node that is over.
+    /// The latest completed pause of each node.
     pauses: BTreeMap<NodeId, Interval>,
     last_heartbeat: Option<Micros>,
     stalls: VecDeque<Interval>,
@@ -51,34 +51,34 @@
     }
 
     fn heartbeat(&mut self, now: Micros) {
-        self.stalls.extend(self.present_stall(now));
+        self.stalls.extend(self.current_stall(now));
         self.last_heartbeat = Some(now);
         if self.stalls.len() > MAX_STALLS {
             self.stalls.pop_front();
         }
     }
 
-    /// The stall that is just over, if the next heartbeat is late.
-    fn present_stall(&self, now: Micros) -> Option<Interval> {
+    /// Returns the stall that ends now, if the next heartbeat is overdue.
+    fn current_stall(&self, now: Micros) -> Option<Interval> {
         let from = self.last_heartbeat? + HEARTBEAT_INTERVAL;
         (now > from + MAX_HEARTBEAT_DELAY).then_some(Interval { from, until: now })
     }
 
-    /// For how long a request that a client sent to a node may have been unread at most.
+    /// Returns the maximum time for which a request that a client sent at `sent_at` may have been unread by its node.
     pub(super) fn unread_time(&self, now: Micros, node: NodeId, sent_at: Micros) -> Micros {
-        let came_in = |pause: &&Interval| {
-            (pause.from.saturating_sub(SENT_GRACE)..=pause.until).contains(&sent_at)
+        let sent_during = |pause: &&Interval| {
+            (pause.from.saturating_sub(TRANSIT_GRACE)..=pause.until).contains(&sent_at)
         };
-        let pause = self.pauses.get(&node).filter(came_in);
+        let pause = self.pauses.get(&node).filter(sent_during);
         let paused = pause.map_or(0, |pause| pause.length_after(sent_at));
-        let stalls = self.stalls.iter().copied().chain(self.present_stall(now));
+        let stalls = self.stalls.iter().copied().chain(self.current_stall(now));
         let stalled: Micros = stalls.map(|stall| stall.length_after(sent_at)).sum();
         paused + stalled
     }
 }
 
 impl ClusterState {
-    /// The testbed runs; to be called every [`HEARTBEAT_INTERVAL`].
+    /// Records that the testbed is running. Call this every [`HEARTBEAT_INTERVAL`].
     pub fn heartbeat(&mut self, now: Micros) {
         self.suspensions.heartbeat(now);
     }
--- a/crates/testbed/src/sockets/cluster/warm_up.rs
+++ b/crates/testbed/src/sockets/cluster/warm_up.rs
@@ -1,4 +1,4 @@
-//! What the cache servers hold at the beginning of a run, as if they had served since long ago.
+//! Initial contents of the cache servers, as if they had been serving for a long time.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use crate::deployment;
 
 impl ClusterState {
-    /// Fills the cache servers with the keys that the nodes' policy would send to each of them.
+    /// Fills the cache servers with the keys that the nodes' routing policy would send to each of them.
     pub fn fill_caches(&mut self, now: Micros) {
         let servers: BTreeMap<ServerId, ServerNumber> = self
             .servers
@@ -27,7 +27,7 @@
         }
     }
 
-    /// All servers as the policy of a node has them, with the origin as the last.
+    /// Returns all endpoints in the form of the nodes' routing policy, with the origin last.
     fn endpoints(&self) -> Vec<Endpoint> {
         let origin = Endpoint {
             id: endpoint_id("origin"),
@@ -36,15 +36,15 @@
         };
         let servers = self.servers.iter().map(|(number, server)| Endpoint {
             id: endpoint_id(&server_name(*number)),
-            zone: server.site.zone,
-            kind: server.site.kind as u16,
+            zone: server.placement.zone,
+            kind: server.placement.kind as u16,
             ..Endpoint::default()
         });
         servers.chain([origin]).collect()
     }
 }
 
-/// The id that a node derives from an endpoint's name.
+/// Returns the id that a node derives from an endpoint's name.
 fn endpoint_id(name: &str) -> ServerId {
     xxh3_64(name.as_bytes()) as ServerId
 }
--- a/crates/testbed/src/sockets/driver/clients.rs
+++ b/crates/testbed/src/sockets/driver/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of a run: their requests to nodes, and peers that are no clients and send malformed bytes.
+//! Clients of a run: their requests to nodes, and peers that send malformed bytes.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 use crate::sockets::client_connections::{RequestError, encode_command};
 use crate::sockets::cluster::RequestId;
 
-/// What peers send that are no clients: nothing, another protocol, half a command, an impossible length, TLS.
+/// Bytes that malformed peers send: nothing, another protocol, half a command, an impossible length, TLS.
 const MALFORMED: [&[u8]; 5] = [
     b"",
     b"GET / HTTP/1.1\r\n\r\n",
@@ -23,10 +23,10 @@
     b"*2\r\n$999999999\r\n",
     b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03",
 ];
-/// A peer that sends malformed bytes stays this long, unless the node closes the connection earlier.
-const MALFORMED_PEER_STAYS: Duration = Duration::from_secs(5);
+/// A peer that sends malformed bytes disconnects after this time, unless the node closes the connection earlier.
+const MALFORMED_PEER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A client's request as a node gets it.
+/// A client's request in the form that is sent to a node.
 struct RequestCommand {
     class: String,
     write: bool,
@@ -38,8 +38,8 @@
 }
 
 impl RequestCommand {
-    /// `OBJ.GET key request fields` or `OBJ.SET key request fields value`, to be written now; the fields are class,
-    /// remaining deadline in milliseconds, and the idempotency key.
+    /// Encodes `OBJ.GET key request fields` or `OBJ.SET key request fields value`. The fields are the class, the
+    /// deadline that remains at `now` in milliseconds, and the idempotency key.
     fn encode(&self, now: Micros, value: &[u8]) -> BytesMut {
         let remaining_ms = self.deadline.saturating_sub(now).div_ceil(1_000);
         let mut fields = format!("c={},d={remaining_ms}", self.class);
@@ -56,8 +56,8 @@
 }
 
 impl Driver<'_> {
-    /// A client arrives, and the arrival of the next one is drawn.
-    pub(super) fn client_arrives(&mut self, at: Micros) {
+    /// Handles the arrival of a client, and schedules the next arrival.
+    pub(super) fn handle_client_arrival(&mut self, at: Micros) {
         if let Some(next) = self.clients.next_arrival(at) {
             self.schedule_at(next, Scheduled::NextArrival);
         }
@@ -65,7 +65,7 @@
         self.begin_request(client);
     }
 
-    /// A client sends a request to a node in rotation, unless it has ended.
+    /// Sends a client's next attempt to a node in rotation, unless the client's request has ended.
     pub(super) fn begin_request(&mut self, client_id: ClientId) {
         let Some(client) = self.clients.begin_attempt(client_id) else {
             return;
@@ -82,7 +82,7 @@
             .begin_request(now, request, node, &client);
         let command = self.request_command(request, client_id, &client);
         let leaves_at = self.shared.instant(client.leaves_at);
-        let closes = client.leaves_at < client.deadline;
+        let disconnects_early = client.leaves_at < client.deadline;
         let connections = self.nodes[node as usize].connections().clone();
         let shared = self.shared.clone();
         let messages = self.message_sender.clone();
@@ -93,7 +93,7 @@
                     request,
                     result,
                 };
-                // Without a driver nobody waits for it any more.
+                // The send fails only if the driver has been dropped.
                 let _ = messages.send(message).await;
             };
             let encode = || command.encode(shared.now(), shared.value());
@@ -101,10 +101,11 @@
             tokio::pin!(reply);
             let result = match tokio::time::timeout_at(leaves_at, &mut reply).await {
                 Ok(result) => RequestResult::Ended(result),
-                Err(_) if closes => RequestResult::ClientGone,
+                Err(_) if disconnects_early => RequestResult::ClientDisconnected,
                 Err(_) => {
                     report(RequestResult::DeadlinePassed).await;
-                    // For as long as the run lasts: a pause of the node's process may postpone its answer.
+                    // The wait is bounded only by the end of the run, because a pause of the node's process may delay
+                    // its answer.
                     RequestResult::Ended(reply.await)
                 }
             };
@@ -112,7 +113,7 @@
         });
     }
 
-    /// A request finds no node in rotation.
+    /// Fails a request because no node is in rotation.
     fn fail_request(&mut self, client: ClientId, request: RequestId) {
         let messages = self.message_sender.clone();
         let message = Message::RequestEnded {
@@ -143,7 +144,7 @@
         }
     }
 
-    /// A request has ended: the client is told, and may come again later.
+    /// Handles the end of a request: passes the result to the client, which may schedule a retry.
     pub(super) fn request_ended(
         &mut self,
         client: ClientId,
@@ -153,7 +154,7 @@
         let now = self.shared.now();
         let result = match result {
             RequestResult::Ended(result) => result,
-            RequestResult::ClientGone => {
+            RequestResult::ClientDisconnected => {
                 self.shared.state().request_abandoned(now, request);
                 self.clients.leave(client);
                 return;
@@ -165,14 +166,14 @@
             }
         };
         self.overdue.remove(&request);
-        self.record_end(now, request, &result);
+        self.record_result(now, request, &result);
         let reply = result.unwrap_or(Reply::Failed);
         if let Some(retry_at) = self.clients.notified(now, client, reply) {
             self.schedule_at(retry_at, Scheduled::Retry(client));
         }
     }
 
-    fn record_end(&self, now: Micros, request: RequestId, result: &Result<Reply, RequestError>) {
+    fn record_result(&self, now: Micros, request: RequestId, result: &Result<Reply, RequestError>) {
         let mut state = self.shared.state();
         match result {
             Ok(reply) => {
@@ -180,12 +181,14 @@
                 state.request_answered(now, request, rejected);
             }
             Err(RequestError::NotConnected) => state.request_abandoned(now, request),
-            Err(RequestError::NotTaken) => state.request_not_taken(now, request),
-            Err(RequestError::ConnectionLost) => state.request_broken_off(now, request),
+            Err(RequestError::IdleConnectionLost) => {
+                state.request_lost_on_idle_connection(now, request)
+            }
+            Err(RequestError::ConnectionLost) => state.request_aborted(now, request),
         }
     }
 
-    /// A peer sends malformed bytes to a node in rotation, and the next peer is scheduled.
+    /// Sends malformed bytes to a node in rotation from a new peer, and schedules the next peer.
     pub(super) fn send_malformed(&mut self, at: Micros, traffic: MalformedTraffic) {
         let next = at + (1e6 / traffic.per_second) as Micros;
         if next < traffic.until {
@@ -201,13 +204,13 @@
             let peer = async {
                 let mut stream = TcpStream::connect(address).await?;
                 stream.write_all(bytes).await?;
-                // Until the node closes the connection.
+                // Reads until the node closes the connection.
                 let mut answer = [0; 256];
                 while stream.read(&mut answer).await? > 0 {}
                 Ok::<_, std::io::Error>(())
             };
-            // How it ends does not matter: the node must survive it.
-            let _ = tokio::time::timeout(MALFORMED_PEER_STAYS, peer).await;
+            // The result does not matter: the test is that the node keeps running.
+            let _ = tokio::time::timeout(MALFORMED_PEER_TIMEOUT, peer).await;
         });
     }
 }
--- a/crates/testbed/src/sockets/driver/faults.rs
+++ b/crates/testbed/src/sockets/driver/faults.rs
@@ -11,13 +11,13 @@
 use crate::sockets::cluster::{ServerNumber, server_name};
 use crate::{deployment, micros};
 
-/// When the action of the `index`-th of `count` parties is due, where the actions are spread evenly over a time.
+/// Returns when the `index`-th of `count` actions is due, with the actions spread evenly over a period.
 fn staggered(now: Micros, over: Span, index: usize, count: usize) -> Micros {
     now + micros(over) * index as Micros / count.max(1) as Micros
 }
 
 impl Driver<'_> {
-    /// Injects an event of the scenario, by its place there.
+    /// Injects the event with this index in the scenario.
     pub(super) async fn inject(&mut self, index: usize, now: Micros) {
         let event = self.scenario.faults[index].clone();
         self.progress_messages.push(event.to_string());
@@ -31,10 +31,10 @@
             FaultEvent::CrashServers { part, back, .. } => self.crash_servers(now, part, back),
             FaultEvent::NoisyNeighbour {
                 part, taken, lasts, ..
-            } => self.take_server_capacity(now, part, taken, lasts),
+            } => self.reduce_server_capacity(now, part, taken, lasts),
             FaultEvent::RelocateList { .. } => self.move_discovery(),
             FaultEvent::ListDown { lasts, .. } => self.stop_discovery(now, lasts),
-            FaultEvent::IsolateZone { zone, lasts, .. } => self.cut_zone(now, zone, lasts),
+            FaultEvent::IsolateZone { zone, lasts, .. } => self.isolate_zone(now, zone, lasts),
             FaultEvent::Burst { factor, lasts, .. } => self.begin_burst(now, factor, lasts),
             FaultEvent::HotKey { part, lasts, .. } => self.begin_hot_key(now, part, lasts),
             FaultEvent::Scan { part, lasts, .. } => self.begin_scan(now, part, lasts),
@@ -54,7 +54,7 @@
                     corrupted: spoilt,
                     reset,
                 };
-                self.damage_answers(now, faults, lasts);
+                self.begin_answer_faults(now, faults, lasts);
             }
             FaultEvent::MalformedTraffic { per_s, lasts, .. } => {
                 self.begin_malformed_traffic(now, per_s, lasts)
@@ -80,9 +80,9 @@
             self.nodes[node as usize].kill().await;
             let killed_at = self.shared.now();
             self.shared.state().node_killed(killed_at, node);
-            let noticed_at = now + micros(self.scenario.load_balancer.detection_delay);
-            let killed = self.present_incarnation(node);
-            self.schedule_at(noticed_at, Scheduled::NodeDeathNoticed(killed));
+            let detected_at = now + micros(self.scenario.load_balancer.detection_delay);
+            let killed = self.current_incarnation(node);
+            self.schedule_at(detected_at, Scheduled::NodeDeathDetected(killed));
             self.schedule_at(now + micros(back), Scheduled::StartNode(node));
         }
     }
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Opens a new server, which takes the place of another one at a time.
+    /// Opens a new server, and schedules it to replace another one at the given time.
     fn replace_server(&mut self, now: Micros, old: ServerNumber, at: Micros, drain: Span) {
         let new = self.shared.state().add_server_like(now, old);
         if let Err(error) = self.open_server(new) {
@@ -125,7 +125,7 @@
         }
         self.schedule_at(at, Scheduled::DrainServer(old));
         self.schedule_at(at + micros(drain), Scheduled::StopServer(old));
-        // The new server runs before the old one ends.
+        // The new server starts before the old one stops.
         self.schedule_at(at, Scheduled::StartServer(new));
     }
 
@@ -137,10 +137,12 @@
         }
     }
 
-    fn take_server_capacity(&mut self, now: Micros, fraction: f64, taken: f64, duration: Span) {
+    fn reduce_server_capacity(&mut self, now: Micros, fraction: f64, taken: f64, duration: Span) {
         let servers = self.shared.state().choose_servers(fraction);
         for server in servers {
-            self.shared.state().take_server_capacity(now, server, taken);
+            self.shared
+                .state()
+                .reduce_server_capacity(now, server, taken);
             self.schedule_at(
                 now + micros(duration),
                 Scheduled::RestoreServerCapacity(server),
@@ -150,7 +152,8 @@
 
     // Discovery and network.
 
-    /// Moves the discovery service. All its new listeners are there before a node is told; the old ones accept nothing.
+    /// Moves the discovery service to new addresses. All new listeners are opened before any node is told, and the old
+    /// ones stop accepting connections.
     fn move_discovery(&mut self) {
         let old_listeners = std::mem::take(&mut self.discovery_listeners);
         for node in 0..self.nodes.len() as u32 {
@@ -174,8 +177,8 @@
         self.schedule_at(now + micros(duration), Scheduled::RestoreDiscovery);
     }
 
-    fn cut_zone(&mut self, now: Micros, zone: Zone, duration: Span) {
-        self.shared.state().cut_zone(now, zone);
+    fn isolate_zone(&mut self, now: Micros, zone: Zone, duration: Span) {
+        self.shared.state().isolate_zone(now, zone);
         self.stall_links_across(zone, true);
         self.schedule_at(now + micros(duration), Scheduled::HealZone(zone));
     }
@@ -203,21 +206,21 @@
         self.schedule_at(now, Scheduled::SendMalformed(traffic));
     }
 
-    // Origin and answers.
+    // Origin and replies.
 
     fn fail_origin(&mut self, now: Micros, how: OriginFailure, fraction: f64, duration: Span) {
         let fault = deployment::fault(how, fraction);
         self.shared.state().fail_origin(fault);
-        self.schedule_at(now + micros(duration), Scheduled::HealOrigin);
+        self.schedule_at(now + micros(duration), Scheduled::ClearOriginFault);
     }
 
     fn slow_origin(&mut self, now: Micros, taken: f64, duration: Span) {
-        self.shared.state().take_origin_capacity(now, taken);
+        self.shared.state().reduce_origin_capacity(now, taken);
         self.schedule_at(now + micros(duration), Scheduled::RestoreOriginCapacity);
     }
 
-    fn damage_answers(&mut self, now: Micros, faults: AnswerFaults, duration: Span) {
+    fn begin_answer_faults(&mut self, now: Micros, faults: AnswerFaults, duration: Span) {
         self.shared.state().set_answer_faults(faults);
-        self.schedule_at(now + micros(duration), Scheduled::RepairAnswers);
+        self.schedule_at(now + micros(duration), Scheduled::ClearAnswerFaults);
     }
 }
--- a/crates/testbed/src/sockets/driver/mod.rs
+++ b/crates/testbed/src/sockets/driver/mod.rs
@@ -1,8 +1,8 @@
-//! The driver of a run on sockets: one task that owns the schedule, the clients and the nodes, and that reacts to what
-//! is due and to what its other tasks report.
+//! The driver of a run on sockets. One task owns the schedule, the clients and the nodes, and handles scheduled actions
+//! and the messages of its other tasks.
 //!
 //! Tasks: the driver owns the services (`services`), the clients' requests and the waits for nodes to start (`tasks`),
-//! the links and the node processes. All end when it is dropped.
+//! the links and the node processes. All of them end when it is dropped.
 
 mod clients;
 mod faults;
@@ -39,22 +39,22 @@
 
 pub(super) use system_faults::needs_fault_injector;
 
-/// After the last client's arrival the run goes on until all are answered, for this long at most, in microseconds.
-const MAX_TAIL: Micros = 10_000_000;
-/// Progress is reported, exits of nodes are noticed, and old requests are forgotten this often.
+/// Maximum time after the last client arrival for which the run waits for open requests, in microseconds.
+const MAX_COMPLETION_WAIT: Micros = 10_000_000;
+/// Interval at which progress is reported, exits of nodes are detected, and old requests are forgotten.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The number of a client.
 type ClientId = u64;
 
-/// One process of a node. What was meant for an earlier incarnation is void.
+/// One process of a node. Actions that were scheduled for an earlier incarnation are ignored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct NodeIncarnation {
     node: u32,
     incarnation: u32,
 }
 
-/// What a task reports to the driver.
+/// A message from a task to the driver.
 #[derive(Debug, Clone, Copy)]
 enum Message {
     /// A client's request has ended.
@@ -63,25 +63,25 @@
         request: RequestId,
         result: RequestResult,
     },
-    /// A node that was started answers, or did not in time.
+    /// A node that was started answers, or did not answer in time.
     NodeReady {
         started: NodeIncarnation,
         ready: bool,
     },
 }
 
-/// How a client's request has ended.
+/// The result of a client's request.
 #[derive(Debug, Clone, Copy)]
 enum RequestResult {
-    /// With a reply or without, before the client went away or after its deadline.
+    /// The request ended, with or without a reply, before the client disconnected or after its deadline.
     Ended(Result<Reply, RequestError>),
-    /// The client left before its deadline and closed its connection.
-    ClientGone,
-    /// The client's deadline has passed. Its connection stays: it is still owed the answer.
+    /// The client disconnected before its deadline.
+    ClientDisconnected,
+    /// The client's deadline has passed. Its connection stays open, because the node must still answer.
     DeadlinePassed,
 }
 
-/// Random streams of the driver. Each has a seed of its own, so that one does not shift the draws of another.
+/// Random streams of the driver. Each has its own seed, so that draws from one do not shift the draws from another.
 struct RandomStreams {
     malformed_traffic: RandomStream,
     node_seeds: RandomStream,
@@ -90,7 +90,7 @@
 
 impl RandomStreams {
     fn new(seed: u64) -> RandomStreams {
-        // The cluster draws its faults from the stream without the offset.
+        // The stream without the offset is used by the cluster for its faults.
         let malformed_traffic = Stream::Faults as u64 + SOCKETS_STREAM_OFFSET;
         RandomStreams {
             malformed_traffic: random_stream(seed, malformed_traffic),
@@ -111,35 +111,35 @@
     clients: Clients<'a>,
     nodes: Vec<RouterProcess>,
     load_balancer: LoadBalancer,
-    /// Links to the cache servers, by the zone that they come from and by server.
+    /// Links to the cache servers, indexed by source zone and server.
     links: Vec<Vec<Link>>,
-    /// The cluster's ticker and the listeners of its services.
+    /// Tasks of the cluster's timers and of the listeners of its services.
     services: JoinSet<()>,
-    /// The listeners of the discovery service among them.
+    /// Handles of the discovery listeners' tasks in `services`.
     discovery_listeners: Vec<AbortHandle>,
-    /// Requests, waits for nodes to start, and peers that send malformed bytes.
+    /// Tasks of requests, waits for nodes to start, and peers that send malformed bytes.
     tasks: JoinSet<()>,
     last_request: RequestId,
-    /// Requests whose deadlines have passed without an answer so far.
+    /// Requests whose deadlines have passed without an answer.
     overdue: BTreeSet<RequestId>,
     message_sender: mpsc::Sender<Message>,
     messages: mpsc::Receiver<Message>,
     random: RandomStreams,
     system_faults: SystemFaults,
-    /// Faults and recoveries for the next progress, in words.
+    /// Descriptions of faults and recoveries for the next progress report.
     progress_messages: Vec<String>,
-    /// What went wrong beside the protocol's invariants, in words.
+    /// Descriptions of failures other than violations of the protocol's invariants.
     failures: Vec<String>,
-    /// The addresses of the run. Dropped last, after all that listens at them.
+    /// The addresses of the run. Declared last so that it is dropped after everything that listens on them.
     addresses: LoopbackBlock,
 }
 
 impl Driver<'_> {
-    /// Runs until all clients have ended.
+    /// Runs until all clients' requests have ended.
     pub(super) async fn run(&mut self, progress: &mut impl FnMut(&Progress)) {
         let mut progress_timer = tokio::time::interval(PROGRESS_INTERVAL);
         let mut reported = Counts::default();
-        while !self.is_over() {
+        while !self.is_finished() {
             let due = self
                 .schedule
                 .next_event_at()
@@ -153,7 +153,7 @@
             }
             self.handle_cluster_events();
         }
-        // What nodes answer while they are stopped is read by nobody.
+        // Answers that nodes send while they are being stopped are not read.
         let now = self.shared.now();
         self.shared.state().end(now);
     }
@@ -164,19 +164,19 @@
     }
 
     fn latest_end(&self) -> Micros {
-        self.last_arrival() + MAX_TAIL
+        self.last_arrival() + MAX_COMPLETION_WAIT
     }
 
-    fn is_over(&self) -> bool {
+    fn is_finished(&self) -> bool {
         let now = self.shared.now();
         if now > self.latest_end() {
             return true;
         }
-        let arrivals_to_come = self
+        let arrivals_pending = self
             .schedule
             .contains(|scheduled| matches!(scheduled, Scheduled::NextArrival));
         let all_answered = self.clients.open_count() == 0 && self.overdue.is_empty();
-        !arrivals_to_come && now > self.last_arrival() && all_answered
+        !arrivals_pending && now > self.last_arrival() && all_answered
     }
 
     fn schedule_at(&mut self, at: Micros, scheduled: Scheduled) {
@@ -187,7 +187,7 @@
         let now = self.shared.now();
         while self.schedule.next_event_at().is_some_and(|due| due <= now) {
             if let Some((at, scheduled)) = self.schedule.pop() {
-                self.perform(at, scheduled).await;
+                self.execute(at, scheduled).await;
             }
         }
     }
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Takes over what the cluster has counted, and the servers that have died of overload.
+    /// Adds the cluster's counted events to the clients' counts, and handles servers that have died of overload.
     fn handle_cluster_events(&mut self) {
         let now = self.shared.now();
         let ClusterEvents { counted, collapsed } = self.shared.state().take_events();
@@ -217,7 +217,7 @@
         }
         for server in collapsed {
             self.progress_messages
-                .push(format!("{} fell over", server_name(server)));
+                .push(format!("{} crashed from overload", server_name(server)));
             self.server_ended(now, server);
         }
     }
@@ -226,7 +226,7 @@
         let now = self.shared.now();
         let servers_up = {
             let mut state = self.shared.state();
-            state.forget_requests_over(now);
+            state.forget_finished_requests(now);
             state.servers_up()
         };
         self.handle_node_exits(now);
@@ -245,7 +245,7 @@
         });
     }
 
-    /// The report of a run that has ended.
+    /// Returns the report of a completed run.
     pub(super) fn into_report(mut self, seed: u64) -> Report {
         let injected_faults = self.injected_faults();
         let mut state = self.shared.state();
--- a/crates/testbed/src/sockets/driver/nodes.rs
+++ b/crates/testbed/src/sockets/driver/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes of a run: starts, exits and shutdowns of their processes, and which of them are in rotation.
+//! Nodes of a run: the starts, exits and shutdowns of their processes, and their place in the load balancer's rotation.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 use crate::deployment;
 use crate::scenario::DEREGISTRATION_DELAY;
 
-/// Nodes that were asked to end at the end of a run are killed after this time.
+/// Nodes that were told to shut down at the end of a run are killed after this time.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(12);
 
 impl Driver<'_> {
-    /// Starts a node's process, and a task that reports when it answers.
+    /// Starts a node's process, and a task that reports when the node answers.
     pub(super) fn start_node(&mut self, node: u32) -> std::io::Result<()> {
         let zone = deployment::zone(self.scenario, node);
         let known_endpoints = self.shared.begin_node(node, zone);
@@ -23,18 +23,18 @@
         let process = &mut self.nodes[node as usize];
         process.start(self.options.program, self.scenario, &known_endpoints, seed)?;
         let ready = process.ready();
-        let started = self.present_incarnation(node);
+        let started = self.current_incarnation(node);
         let messages = self.message_sender.clone();
         self.tasks.spawn(async move {
             let ready = ready.await;
-            // Without a driver nobody waits for it any more.
+            // The send fails only if the driver has been dropped.
             let _ = messages.send(Message::NodeReady { started, ready }).await;
         });
         Ok(())
     }
 
-    /// Starts a node's process again, unless it runs: two faults may each bring it back.
-    pub(super) fn start_node_again(&mut self, node: u32) {
+    /// Starts a node's process unless it is running: two faults may each schedule a start of the same node.
+    pub(super) fn start_node_if_stopped(&mut self, node: u32) {
         if self.nodes[node as usize].has_process() {
             return;
         }
@@ -44,22 +44,22 @@
         }
     }
 
-    pub(super) fn present_incarnation(&self, node: u32) -> NodeIncarnation {
+    pub(super) fn current_incarnation(&self, node: u32) -> NodeIncarnation {
         NodeIncarnation {
             node,
             incarnation: self.nodes[node as usize].incarnation(),
         }
     }
 
-    fn is_present(&self, node: NodeIncarnation) -> bool {
-        self.present_incarnation(node.node) == node
+    fn is_current(&self, node: NodeIncarnation) -> bool {
+        self.current_incarnation(node.node) == node
     }
 
-    /// A node that was started answers, or did not in time.
+    /// Handles the report that a started node answers, or did not answer in time.
     pub(super) fn node_ready(&mut self, started: NodeIncarnation, ready: bool) {
         let node = started.node;
         let process = &self.nodes[node as usize];
-        if !self.is_present(started) || !process.has_process() {
+        if !self.is_current(started) || !process.has_process() {
             return;
         }
         if !ready {
@@ -67,10 +67,10 @@
             return;
         }
         self.load_balancer.add(node);
-        self.progress_messages.push(format!("node {node} is back"));
+        self.progress_messages.push(format!("node {node} is ready"));
     }
 
-    /// Asks a node to shut down. It gets new requests for a while yet, until it leaves the rotation.
+    /// Tells a node to shut down. The node still gets new requests until it is removed from the rotation.
     pub(super) fn terminate_node(&mut self, now: Micros, node: u32) {
         let process = &mut self.nodes[node as usize];
         if !process.has_process() {
@@ -78,18 +78,18 @@
         }
         process.terminate();
         let leaves_at = now + DEREGISTRATION_DELAY.as_micros() as Micros;
-        let leaving = self.present_incarnation(node);
+        let leaving = self.current_incarnation(node);
         self.schedule_at(leaves_at, Scheduled::RemoveFromRotation(leaving));
         let killed_at = now + deployment::earliest_kill_after_terminate(self.scenario);
         self.schedule_at(killed_at, Scheduled::KillTerminated(leaving));
     }
 
-    /// Kills a node that has not ended in the time that the platform gives it. Unlike at other kills, the requests that
-    /// it has not answered are lost: it was told early enough to answer them.
+    /// Kills a node that has not shut down in the time that the platform allows. Unlike after other kills, its
+    /// unanswered requests are lost, because it was told early enough to answer them.
     pub(super) async fn kill_terminated(&mut self, now: Micros, terminated: NodeIncarnation) {
         self.handle_node_exits(now);
         let node = terminated.node;
-        if !self.is_present(terminated) || !self.nodes[node as usize].has_process() {
+        if !self.is_current(terminated) || !self.nodes[node as usize].has_process() {
             return;
         }
         self.nodes[node as usize].kill().await;
@@ -97,24 +97,24 @@
         self.shared.state().node_killed_in_shutdown(killed_at, node);
         self.load_balancer.remove(node);
         self.progress_messages
-            .push(format!("node {node} was killed in its shutdown"));
+            .push(format!("node {node} was killed during its shutdown"));
         self.schedule_at(killed_at, Scheduled::StartNode(node));
     }
 
     pub(super) fn remove_from_rotation(&mut self, leaving: NodeIncarnation) {
-        if self.is_present(leaving) {
+        if self.is_current(leaving) {
             self.load_balancer.remove(leaving.node);
         }
     }
 
-    /// A node that was killed leaves the rotation, unless it was started again meanwhile.
-    pub(super) fn notice_node_death(&mut self, killed: NodeIncarnation) {
+    /// Removes a killed node from the rotation, unless it has been started again.
+    pub(super) fn handle_node_death(&mut self, killed: NodeIncarnation) {
         if !self.nodes[killed.node as usize].has_process() {
             self.remove_from_rotation(killed);
         }
     }
 
-    /// Takes nodes whose processes have ended out of rotation, and has them started again.
+    /// Removes nodes whose processes have ended from the rotation, and schedules their restarts.
     pub(super) fn handle_node_exits(&mut self, now: Micros) {
         for node in 0..self.nodes.len() as u32 {
             let process = &mut self.nodes[node as usize];
@@ -132,12 +132,12 @@
         }
     }
 
-    /// Shuts all nodes down as a platform does: they are asked first, and killed if they do not end.
+    /// Shuts all nodes down as a platform does: they are told to shut down, and killed if they do not end in time.
     pub(in crate::sockets) async fn stop_nodes(&mut self) {
         let now = self.shared.now();
         for (node, process) in (0..).zip(&mut self.nodes) {
             process.connections().close_idle();
-            // One that is paused could not react.
+            // A paused process can't react to SIGTERM.
             self.shared.state().node_resumed(now, node);
             process.signal(Signal::SIGCONT);
             process.terminate();
--- a/crates/testbed/src/sockets/driver/servers.rs
+++ b/crates/testbed/src/sockets/driver/servers.rs
@@ -1,4 +1,4 @@
-//! Emulated cache servers of a run: their listeners, the links to them, and their processes' starts and ends.
+//! Emulated cache servers of a run: their listeners, the links to them, and the starts and ends of their processes.
 
 use std::time::Duration;
 
@@ -15,18 +15,19 @@
 use crate::sockets::services::cache_server;
 
 impl Driver<'_> {
-    /// Opens the listener of the next cache server, by number, and a link to it from each zone.
+    /// Opens the listener of the next cache server (they are opened in order of their numbers), and a link to it from
+    /// each zone.
     pub(super) fn open_server(&mut self, server: ServerNumber) -> std::io::Result<()> {
         let listener = listen(self.addresses.next_address()?)?;
         let address = listener.local_addr()?;
         let serve = cache_server::serve(self.shared.clone(), listener, server);
         self.services.spawn(serve);
-        let (site, up) = {
+        let (placement, up) = {
             let state = self.shared.state();
-            (state.server_site(server), state.is_server_up(server))
+            (state.server_placement(server), state.is_server_up(server))
         };
         for zone in 0..self.scenario.zones {
-            let same_zone = site.is_some_and(|site| site.zone == zone);
+            let same_zone = placement.is_some_and(|placement| placement.zone == zone);
             let direction = DirectionState {
                 delay: self.delay(same_zone),
                 stalled: false,
@@ -37,15 +38,15 @@
                 backward: direction,
                 resets: 0,
             };
-            let entrance = self.addresses.next_address()?;
-            let link = Link::open(entrance, address, state)?;
+            let listen_address = self.addresses.next_address()?;
+            let link = Link::open(listen_address, address, state)?;
             self.shared.add_server_address(zone, link.address());
             self.links[usize::from(zone)].push(link);
         }
         Ok(())
     }
 
-    /// Time that bytes take one way.
+    /// One-way network delay.
     fn delay(&self, same_zone: bool) -> Duration {
         let network = &self.scenario.network;
         if same_zone {
@@ -66,7 +67,7 @@
         for link in self.links_to(server) {
             link.update(|state| state.listens = true);
         }
-        self.announce(now, server, Condition::Ready, now);
+        self.schedule_endpoint_change(now, server, Condition::Ready, now);
     }
 
     pub(super) fn stop_server(&mut self, now: Micros, server: ServerNumber) {
@@ -74,16 +75,17 @@
         self.server_ended(now, server);
     }
 
-    /// A server's process has ended: its links refuse connections, and the discovery service will learn it.
+    /// Handles the end of a server's process: its links refuse connections, and the discovery service learns of it
+    /// later.
     pub(super) fn server_ended(&mut self, now: Micros, server: ServerNumber) {
         for link in self.links_to(server) {
             link.fail();
         }
-        self.announce(now, server, Condition::Removed, 0);
+        self.schedule_endpoint_change(now, server, Condition::Removed, 0);
     }
 
-    /// The discovery service learns the condition of a server, and when it started, some time from now.
-    pub(super) fn announce(
+    /// Schedules that the discovery service learns a server's condition and start time after the detection delay.
+    pub(super) fn schedule_endpoint_change(
         &mut self,
         now: Micros,
         server: ServerNumber,
@@ -99,14 +101,15 @@
         self.schedule_at(known_at, Scheduled::EndpointChange(record));
     }
 
-    /// Stalls the links that cross a zone's border, or lets them carry again. A new connection into a cut comes up and
-    /// stays silent, as no program can keep the system from accepting it.
+    /// Stalls or resumes the links between a zone and the others. A new connection into an isolated zone is established
+    /// but carries no bytes, because a program can't stop the operating system from completing the handshake.
     pub(super) fn stall_links_across(&self, zone: Zone, stalled: bool) {
         for (from, links) in (0..).zip(&self.links) {
             for (server, link) in (1..).zip(links) {
-                let site = self.shared.state().server_site(server);
-                let crosses_border = site.is_some_and(|site| (from == zone) != (site.zone == zone));
-                if crosses_border {
+                let placement = self.shared.state().server_placement(server);
+                let crosses_zones =
+                    placement.is_some_and(|placement| (from == zone) != (placement.zone == zone));
+                if crosses_zones {
                     link.update(|state| {
                         state.forward.stalled = stalled;
                         state.backward.stalled = stalled;
--- a/crates/testbed/src/sockets/driver/setup.rs
+++ b/crates/testbed/src/sockets/driver/setup.rs
@@ -1,4 +1,4 @@
-//! The start of a run: services, links and nodes come up, the cache servers are filled, and the schedule is begun.
+//! Start of a run: opens services and links, fills the cache servers, starts the nodes, and begins the schedule.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -24,13 +24,13 @@
 use crate::sockets::{Options, SocketError};
 use crate::{deployment, micros};
 
-/// Whether a node has ended while it starts is checked this often.
+/// Interval of the checks whether a node has ended while it is starting.
 const START_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Messages of tasks that wait for the driver at most.
+/// Maximum number of messages from tasks that are queued for the driver.
 const MAX_MESSAGES: usize = 4096;
 
 impl<'a> Driver<'a> {
-    /// Opens all listeners and links of a scenario, and preloads a fault injector where there is one. No node runs yet.
+    /// Opens all listeners and links of a scenario, and prepares the fault injector if there is one. Starts no node.
     pub(in crate::sockets) fn new(
         scenario: &'a Scenario,
         seed: u64,
@@ -43,7 +43,7 @@
         if let Some(library) = injector {
             driver.prepare_fault_injection(library);
         }
-        driver.begin_early_system_faults();
+        driver.begin_initial_system_faults();
         Ok(driver)
     }
 
@@ -115,7 +115,7 @@
         Ok(())
     }
 
-    /// Opens a listener of the discovery service for a node, and returns its address.
+    /// Opens a discovery listener for a node, and returns its address.
     pub(super) fn open_discovery_listener(&mut self, node: u32) -> std::io::Result<SocketAddr> {
         let listener = listen(self.addresses.next_address()?)?;
         let address = listener.local_addr()?;
@@ -126,7 +126,7 @@
         Ok(address)
     }
 
-    /// Fills the cache servers, starts the nodes, and begins the schedule once all of them answer.
+    /// Fills the cache servers, starts the nodes, and begins the schedule when all nodes answer.
     pub(in crate::sockets) async fn begin(&mut self) -> Result<(), SocketError> {
         let now = self.shared.now();
         self.shared.state().fill_caches(now);
@@ -151,15 +151,15 @@
         let mut exit_check = tokio::time::interval(START_CHECK_INTERVAL);
         while self.load_balancer.node_count() < self.nodes.len() {
             tokio::select! {
-                Some(message) = self.messages.recv() => self.note_started(&message)?,
-                _ = exit_check.tick() => self.check_none_has_exited()?,
+                Some(message) = self.messages.recv() => self.record_startup(&message)?,
+                _ = exit_check.tick() => self.check_for_exited_nodes()?,
             }
         }
         self.load_balancer.sort();
         Ok(())
     }
 
-    fn note_started(&mut self, message: &Message) -> Result<(), SocketError> {
+    fn record_startup(&mut self, message: &Message) -> Result<(), SocketError> {
         let Message::NodeReady { started, ready } = message else {
             return Ok(());
         };
@@ -170,8 +170,8 @@
         Ok(())
     }
 
-    /// A node that ends while it starts has written the reason to its log.
-    fn check_none_has_exited(&mut self) -> Result<(), SocketError> {
+    /// Fails if a node has ended while it was starting; its log then states the reason.
+    fn check_for_exited_nodes(&mut self) -> Result<(), SocketError> {
         for node in &mut self.nodes {
             if node.take_exit_status().is_some() {
                 return Err(node.startup_error());
--- a/crates/testbed/src/sockets/driver/system_faults.rs
+++ b/crates/testbed/src/sockets/driver/system_faults.rs
@@ -1,5 +1,5 @@
-//! Faults of the nodes' system calls and of wall clocks: which nodes they concern is drawn before the nodes start, and
-//! the fault injector that is preloaded into each node is told when they begin and end.
+//! Faults of the nodes' system calls and of wall clocks. The affected nodes are drawn before the nodes start. The fault
+//! injector that is preloaded into each node is told when a fault begins and ends.
 
 use std::path::Path;
 
@@ -16,33 +16,33 @@
 use crate::scenario::{ClockOwner, FaultEvent, Scenario};
 use crate::sockets::fault_injection::{FaultInjection, InjectionFiles, clock_step_us};
 
-/// A fault of the scenario that concerns system calls or clocks.
+/// A fault of system calls or clocks in the scenario.
 #[derive(Debug, Clone)]
 struct SystemFault {
-    /// Its place in the scenario.
+    /// Index of the event in the scenario.
     event: usize,
-    /// Its place in the plan of each node; none for a step of a clock, which no plan has.
-    place: Option<usize>,
-    /// The nodes that it concerns.
+    /// Index of the fault in each node's plan; `None` for a clock step, which is not part of the plan.
+    plan_index: Option<usize>,
+    /// The affected nodes.
     nodes: Vec<u32>,
-    /// Whether it is there before the nodes start.
+    /// Whether the fault begins before the nodes start.
     from_start: bool,
 }
 
-/// The faults of a scenario that concern system calls and clocks.
+/// All faults of system calls and clocks in a scenario.
 #[derive(Default)]
 pub(super) struct SystemFaults {
     faults: Vec<SystemFault>,
-    /// What the plan of each node holds.
+    /// The faults in each node's plan.
     plan: Vec<Fault>,
 }
 
 impl SystemFaults {
-    /// Draws the nodes that each of the faults concerns.
+    /// Draws the nodes that each fault affects.
     pub(super) fn draw(scenario: &Scenario, random: &mut RandomStream) -> SystemFaults {
         let mut drawn = SystemFaults::default();
         for (event, fault) in scenario.faults.iter().enumerate() {
-            let Some(part) = part_of_nodes(fault) else {
+            let Some(part) = node_fraction(fault) else {
                 continue;
             };
             let mut nodes: Vec<u32> = (0..scenario.nodes).collect();
@@ -51,7 +51,7 @@
             let planned = planned_fault(fault);
             drawn.faults.push(SystemFault {
                 event,
-                place: planned.is_some().then_some(drawn.plan.len()),
+                plan_index: planned.is_some().then_some(drawn.plan.len()),
                 nodes,
                 from_start: fault.at().0.is_zero(),
             });
@@ -60,7 +60,7 @@
         drawn
     }
 
-    fn of_event(&self, event: usize) -> Option<SystemFault> {
+    fn for_event(&self, event: usize) -> Option<SystemFault> {
         self.faults
             .iter()
             .find(|fault| fault.event == event)
@@ -68,16 +68,16 @@
     }
 }
 
-/// Whether a scenario has faults that need the fault injector.
+/// Returns whether a scenario has faults that need the fault injector.
 pub(in crate::sockets) fn needs_fault_injector(scenario: &Scenario) -> bool {
     scenario.faults.iter().any(|fault| {
-        part_of_nodes(fault).is_some()
+        node_fraction(fault).is_some()
             && !matches!(fault, FaultEvent::StepClock { who, .. } if !who.includes_nodes())
     })
 }
 
-/// The part of the nodes that a fault of system calls or clocks concerns; `None` for other faults.
-fn part_of_nodes(fault: &FaultEvent) -> Option<f64> {
+/// Returns the fraction of the nodes that a fault of system calls or clocks affects, or `None` for other faults.
+fn node_fraction(fault: &FaultEvent) -> Option<f64> {
     match fault {
         FaultEvent::SystemCalls { part, .. } | FaultEvent::ShortCounts { part, .. } => Some(*part),
         FaultEvent::StepClock { who, part, .. } => {
@@ -87,7 +87,8 @@
     }
 }
 
-/// A fault as the plan of a node has it. When it begins and ends is not in the plan: nodes start at different times.
+/// Returns a fault in the form of a node's plan. The plan does not contain its begin and end, because nodes start at
+/// different times.
 fn planned_fault(fault: &FaultEvent) -> Option<Fault> {
     let (calls, on, effect, rate) = match fault {
         FaultEvent::SystemCalls {
@@ -113,7 +114,7 @@
 }
 
 impl Driver<'_> {
-    /// Gives each node its fault injector, with all faults off.
+    /// Gives each node a fault injector with all faults off.
     pub(super) fn prepare_fault_injection(&mut self, library: &Path) {
         let files = InjectionFiles {
             library,
@@ -126,8 +127,8 @@
         }
     }
 
-    /// Begins the faults that are there before the nodes start.
-    pub(super) fn begin_early_system_faults(&mut self) {
+    /// Begins the faults that are active before the nodes start.
+    pub(super) fn begin_initial_system_faults(&mut self) {
         let now = self.shared.now();
         let scenario = self.scenario;
         for fault in self.system_faults.faults.clone() {
@@ -142,23 +143,23 @@
         }
     }
 
-    /// A fault of system calls begins.
+    /// Begins a fault of system calls, and schedules its end.
     pub(super) fn begin_system_fault(&mut self, now: Micros, event: usize, lasts: Span) {
-        let Some(fault) = self.system_faults.of_event(event) else {
+        let Some(fault) = self.system_faults.for_event(event) else {
             return;
         };
         self.switch_system_fault(&fault, true);
         self.schedule_at(now + micros(lasts), Scheduled::EndSystemFault(event));
     }
 
-    /// A fault of system calls ends.
+    /// Ends a fault of system calls.
     pub(super) fn end_system_fault(&mut self, event: usize) {
-        if let Some(fault) = self.system_faults.of_event(event) {
+        if let Some(fault) = self.system_faults.for_event(event) {
             self.switch_system_fault(&fault, false);
         }
     }
 
-    /// Clocks are stepped, unless they were before the nodes started.
+    /// Steps the clocks, unless they were stepped before the nodes started.
     pub(super) fn begin_clock_step(
         &mut self,
         now: Micros,
@@ -166,7 +167,7 @@
         who: ClockOwner,
         by_s: f64,
     ) {
-        let fault = self.system_faults.of_event(event);
+        let fault = self.system_faults.for_event(event);
         if let Some(fault) = fault.filter(|fault| !fault.from_start) {
             self.step_clocks(now, &fault, who, by_s);
         }
@@ -177,17 +178,17 @@
         if who.includes_discovery() {
             self.shared.step_discovery_clock(now, by);
         }
-        self.change_injections(fault, |injection| injection.step_clock(by));
+        self.update_injectors(fault, |injection| injection.step_clock(by));
     }
 
     fn switch_system_fault(&mut self, fault: &SystemFault, on: bool) {
-        if let Some(place) = fault.place {
-            self.change_injections(fault, |injection| injection.switch(place, on));
+        if let Some(plan_index) = fault.plan_index {
+            self.update_injectors(fault, |injection| injection.switch(plan_index, on));
         }
     }
 
-    /// Changes the injectors of the nodes that a fault concerns.
-    fn change_injections(
+    /// Updates the injectors of the nodes that a fault affects.
+    fn update_injectors(
         &mut self,
         fault: &SystemFault,
         change: impl Fn(&mut FaultInjection) -> Result<(), StateFileError>,
@@ -202,7 +203,7 @@
         }
     }
 
-    /// What the faults did to the nodes' system calls.
+    /// Returns how often the faults affected the nodes' system calls.
     pub(super) fn injected_faults(&mut self) -> Vec<InjectedFault> {
         let mut injected_faults = Vec::new();
         for fault in self.system_faults.faults.clone() {
@@ -214,7 +215,7 @@
                 let Some(injection) = self.nodes[*node as usize].fault_injection() else {
                     continue;
                 };
-                match count(injection, fault.place) {
+                match count(injection, fault.plan_index) {
                     Ok(counted) => {
                         sum.calls += counted.calls;
                         sum.injected += counted.injected;
@@ -228,13 +229,13 @@
     }
 }
 
-/// What a fault did to a node: its counts, or the readings of a clock that was off.
+/// Returns how often a fault affected a node: the counts of its calls, or the number of readings of a stepped clock.
 fn count(
     injection: &FaultInjection,
-    place: Option<usize>,
+    plan_index: Option<usize>,
 ) -> Result<fault_plan::FaultCounts, StateFileError> {
-    if let Some(place) = place {
-        return injection.counts(place);
+    if let Some(plan_index) = plan_index {
+        return injection.counts(plan_index);
     }
     let readings = injection.clock_readings()?;
     Ok(fault_plan::FaultCounts {
--- a/crates/testbed/src/sockets/fault_injection.rs
+++ b/crates/testbed/src/sockets/fault_injection.rs
@@ -1,24 +1,22 @@
-//! The fault injector of one node: a library that is preloaded into each of the node's processes, with a plan and a
-//! state file of its own for each.
+//! The fault injector of one node: a library that is preloaded into each of the node's processes. Each process has its
+//! own plan and state file.
 
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
 
 use fault_plan::{Fault, FaultCounts, PLAN_VARIABLE, Plan, StateFile, StateFileError};
 
-/// The environment variable by which the loader is told what to load before a program.
+/// The environment variable that tells the dynamic loader which libraries to preload.
 const PRELOAD_VARIABLE: &str = "LD_PRELOAD";
 const NANOS_PER_MICRO: i64 = 1_000;
 
 /// An environment variable of a node's process.
 pub(crate) struct EnvironmentVariable {
-    /// Its name.
     pub(crate) name: &'static str,
-    /// Its value.
     pub(crate) value: OsString,
 }
 
-/// Where the faults of a node come from.
+/// The files that the fault injector of a node needs.
 pub(crate) struct InjectionFiles<'a> {
     /// The library to preload.
     pub(crate) library: &'a Path,
@@ -26,12 +24,12 @@
     pub(crate) folder: &'a Path,
 }
 
-/// A fault of the node, over all its processes.
+/// A fault of the node, across all its processes.
 struct NodeFault {
     fault: Fault,
     is_on: bool,
-    /// What became of the calls of processes before the present one.
-    earlier: FaultCounts,
+    /// Counts of the calls of the processes before the current one.
+    previous: FaultCounts,
 }
 
 /// The fault injector of one node.
@@ -42,50 +40,50 @@
     seed: u64,
     faults: Vec<NodeFault>,
     clock_offset_ns: i64,
-    earlier_clock_readings: u64,
-    /// The state file of the present process, or of the latest one.
+    previous_clock_readings: u64,
+    /// The state file of the current process, or of the latest one.
     state: Option<StateFile>,
 }
 
 impl FaultInjection {
-    /// The injector of a node, with all faults off and the right time.
+    /// Creates the injector of a node, with all faults off and no clock offset.
     pub(crate) fn new(
         node: u32,
         files: &InjectionFiles<'_>,
         seed: u64,
         faults: &[Fault],
     ) -> FaultInjection {
-        let off = |fault: &Fault| NodeFault {
+        let new_fault = |fault: &Fault| NodeFault {
             fault: fault.clone(),
             is_on: false,
-            earlier: FaultCounts::default(),
+            previous: FaultCounts::default(),
         };
         FaultInjection {
             node,
             library: files.library.to_path_buf(),
             folder: files.folder.to_path_buf(),
             seed,
-            faults: faults.iter().map(off).collect(),
+            faults: faults.iter().map(new_fault).collect(),
             clock_offset_ns: 0,
-            earlier_clock_readings: 0,
+            previous_clock_readings: 0,
             state: None,
         }
     }
 
-    /// Writes plan and state for a new process, and returns its environment variables.
+    /// Writes the plan and the state file for a new process, and returns its environment variables.
     ///
     /// # Errors
-    /// Where a file can't be read or written.
+    /// Returns an error if a file can't be read or written.
     pub(crate) fn prepare(
         &mut self,
         incarnation: u32,
     ) -> Result<[EnvironmentVariable; 2], StateFileError> {
-        self.keep_counts()?;
+        self.accumulate_counts()?;
         let name = format!("n{}-{incarnation}", self.node);
         let state_path = self.folder.join(format!("{name}.faults"));
         let state = StateFile::create(&state_path, self.faults.len())?;
-        for (place, fault) in self.faults.iter().enumerate() {
-            state.switch(place, fault.is_on)?;
+        for (plan_index, fault) in self.faults.iter().enumerate() {
+            state.switch(plan_index, fault.is_on)?;
         }
         state.set_clock_offset(self.clock_offset_ns)?;
         self.state = Some(state);
@@ -111,30 +109,30 @@
         ])
     }
 
-    fn keep_counts(&mut self) -> Result<(), StateFileError> {
-        for place in 0..self.faults.len() {
-            self.faults[place].earlier = self.counts(place)?;
+    fn accumulate_counts(&mut self) -> Result<(), StateFileError> {
+        for plan_index in 0..self.faults.len() {
+            self.faults[plan_index].previous = self.counts(plan_index)?;
         }
-        self.earlier_clock_readings = self.clock_readings()?;
+        self.previous_clock_readings = self.clock_readings()?;
         Ok(())
     }
 
-    /// Switches a fault on or off, by its place, for the present process and those to come.
+    /// Switches the fault at this index of the plan on or off, for the current process and later ones.
     ///
     /// # Errors
-    /// Where the state file can't be written.
-    pub(crate) fn switch(&mut self, place: usize, on: bool) -> Result<(), StateFileError> {
-        self.faults[place].is_on = on;
+    /// Returns an error if the state file can't be written.
+    pub(crate) fn switch(&mut self, plan_index: usize, on: bool) -> Result<(), StateFileError> {
+        self.faults[plan_index].is_on = on;
         match &self.state {
-            Some(state) => state.switch(place, on),
+            Some(state) => state.switch(plan_index, on),
             None => Ok(()),
         }
     }
 
-    /// Steps the wall clock of the node's machine, for the present process and those to come.
+    /// Steps the wall clock of the node's machine, for the current process and later ones.
     ///
     /// # Errors
-    /// Where the state file can't be written.
+    /// Returns an error if the state file can't be written.
     pub(crate) fn step_clock(&mut self, by_us: i64) -> Result<(), StateFileError> {
         self.clock_offset_ns += by_us * NANOS_PER_MICRO;
         match &self.state {
@@ -143,36 +141,37 @@
         }
     }
 
-    /// What became of the calls of a fault, by its place, over all processes so far.
+    /// Returns how many calls the fault at this index of the plan applied to, and how many of them it affected, over
+    /// all processes so far.
     ///
     /// # Errors
-    /// Where the state file can't be read.
-    pub(crate) fn counts(&self, place: usize) -> Result<FaultCounts, StateFileError> {
-        let earlier = self.faults[place].earlier;
+    /// Returns an error if the state file can't be read.
+    pub(crate) fn counts(&self, plan_index: usize) -> Result<FaultCounts, StateFileError> {
+        let previous = self.faults[plan_index].previous;
         let Some(state) = &self.state else {
-            return Ok(earlier);
+            return Ok(previous);
         };
-        let present = state.counts(place)?;
+        let current = state.counts(plan_index)?;
         Ok(FaultCounts {
-            calls: earlier.calls + present.calls,
-            injected: earlier.injected + present.injected,
+            calls: previous.calls + current.calls,
+            injected: previous.injected + current.injected,
         })
     }
 
-    /// How often the node read a wall clock that was off, over all processes so far.
+    /// Returns how often the node read a wall clock that had an offset, over all processes so far.
     ///
     /// # Errors
-    /// Where the state file can't be read.
+    /// Returns an error if the state file can't be read.
     pub(crate) fn clock_readings(&self) -> Result<u64, StateFileError> {
-        let present = match &self.state {
+        let current = match &self.state {
             Some(state) => state.clock_readings()?,
             None => 0,
         };
-        Ok(self.earlier_clock_readings + present)
+        Ok(self.previous_clock_readings + current)
     }
 }
 
-/// A step of a clock in microseconds, from seconds.
+/// Converts a clock step from seconds to microseconds.
 pub(crate) fn clock_step_us(by_s: f64) -> i64 {
     (by_s * 1e6) as i64
 }
--- a/crates/testbed/src/sockets/link.rs
+++ b/crates/testbed/src/sockets/link.rs
@@ -1,8 +1,7 @@
-//! A fault proxy: a link between two parties that carries bytes with a delay and can fail in either direction.
+//! A fault-injecting TCP proxy between two endpoints. It delays bytes, and can fail in either direction.
 //!
-//! A stalled direction keeps its connections and loses nothing: what was sent arrives once the direction is open again,
-//! as after a network cut that TCP outlives. A link that does not listen refuses connections, and a reset ends all that
-//! it carries.
+//! A stalled direction keeps its connections and loses no bytes: they arrive when the stall ends, as after a network
+//! partition that TCP survives. A link that does not listen refuses connections, and a reset ends all its connections.
 //!
 //! Tasks: a [`Link`] owns the task that accepts connections, and that task owns one task for each connection. Dropping
 //! the link ends them all.
@@ -21,30 +20,30 @@
 
 use super::loopback::listen;
 
-/// Chunks in transit in one direction of a connection at most; what exceeds them stays unread.
+/// Maximum number of chunks in transit in one direction of a connection. Further bytes stay unread in the socket.
 const MAX_CHUNKS_IN_TRANSIT: usize = 64;
-/// Bytes of one chunk at most.
+/// Maximum size of a chunk, in bytes.
 const MAX_CHUNK_BYTES: usize = 16 * 1024;
 
-/// The condition of one direction of a link.
+/// State of one direction of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct DirectionState {
-    /// Time that bytes take.
+    /// Time that bytes take to pass.
     pub delay: Duration,
     /// Whether bytes are held back.
     pub stalled: bool,
 }
 
-/// The condition of a link.
+/// State of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LinkState {
     /// Whether new connections are accepted.
     pub listens: bool,
-    /// From the party that connects to the far end.
+    /// Direction from the connecting client to the target.
     pub forward: DirectionState,
-    /// From the far end back to the party that connected.
+    /// Direction from the target back to the client.
     pub backward: DirectionState,
-    /// Times that all connections were reset.
+    /// How often all connections were reset.
     pub resets: u32,
 }
 
@@ -59,7 +58,7 @@
     }
 }
 
-/// A link in operation; ended with all its connections when it is dropped.
+/// A running link. Dropping it ends its connections.
 #[derive(Debug)]
 pub struct Link {
     address: SocketAddr,
@@ -68,10 +67,10 @@
 }
 
 impl Link {
-    /// Opens a link that is entered at `from` and leads to `to`. It must be called within a runtime.
+    /// Opens a link that listens at `from` and forwards connections to `to`. It must be called within a Tokio runtime.
     ///
     /// # Errors
-    /// Where the system gives no port.
+    /// Returns an error if the system provides no port.
     pub fn open(from: SocketAddr, to: SocketAddr, state: LinkState) -> std::io::Result<Link> {
         let listener = listen(from)?;
         let address = listener.local_addr()?;
@@ -84,12 +83,12 @@
         })
     }
 
-    /// Where the link is entered.
+    /// The address that the link listens at.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes the link's condition.
+    /// Changes the link's state.
     pub fn update(&self, change: impl FnOnce(&mut LinkState)) {
         self.state.send_if_modified(|state| {
             let before = *state;
@@ -98,7 +97,7 @@
         });
     }
 
-    /// The far end's process has died: its connections are reset, and new ones are refused.
+    /// Simulates the death of the target's process: resets all connections, and refuses new ones.
     pub fn fail(&self) {
         self.update(|state| {
             state.listens = false;
@@ -107,7 +106,7 @@
     }
 }
 
-/// Accepts connections while the link listens, and carries each in a task of its own.
+/// Accepts connections while the link listens, and proxies each in its own task.
 async fn accept_connections(
     address: SocketAddr,
     to: SocketAddr,
@@ -119,7 +118,7 @@
     loop {
         let listens = state.borrow_and_update().listens;
         if listens && listener.is_none() {
-            // Bound by another party meanwhile: connections are refused until it is free again.
+            // The address may be in use. Connections are then refused until a later attempt to bind it succeeds.
             listener = listen(address).ok();
         } else if !listens {
             listener = None;
@@ -127,14 +126,14 @@
         tokio::select! {
             changed = state.changed() => if changed.is_err() { return },
             accepted = accept(listener.as_ref()) => if let Ok(stream) = accepted {
-                connections.spawn(carry_connection(stream, to, state.clone()));
+                connections.spawn(proxy_connection(stream, to, state.clone()));
             },
             Some(_) = connections.join_next() => {}
         }
     }
 }
 
-/// The next connection; never, without a listener.
+/// Accepts the next connection. Without a listener, it never completes.
 async fn accept(listener: Option<&TcpListener>) -> std::io::Result<TcpStream> {
     match listener {
         Some(listener) => Ok(listener.accept().await?.0),
@@ -142,50 +141,56 @@
     }
 }
 
-/// Carries one connection until both directions have ended, one of them fails, or the link is reset.
-async fn carry_connection(near: TcpStream, to: SocketAddr, mut state: watch::Receiver<LinkState>) {
+/// Proxies one connection until both directions have ended, one of them fails, or the link is reset.
+async fn proxy_connection(
+    client_stream: TcpStream,
+    to: SocketAddr,
+    mut state: watch::Receiver<LinkState>,
+) {
     let resets = state.borrow_and_update().resets;
-    let far = match TcpStream::connect(to).await {
-        Ok(far) => far,
-        Err(_) => return drop(near.set_zero_linger()),
+    let target_stream = match TcpStream::connect(to).await {
+        Ok(target_stream) => target_stream,
+        Err(_) => return drop(client_stream.set_zero_linger()),
     };
-    // Only a matter of speed: the connection works without.
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
-    let Ok(sockets) = [near.as_fd(), far.as_fd()]
+    // Best effort: TCP_NODELAY only affects latency.
+    let _ = client_stream.set_nodelay(true);
+    let _ = target_stream.set_nodelay(true);
+    let Ok(sockets) = [client_stream.as_fd(), target_stream.as_fd()]
         .map(|socket| socket.try_clone_to_owned())
         .into_iter()
         .collect::<std::io::Result<Vec<OwnedFd>>>()
     else {
         return;
     };
-    // Halves that shut nothing down when they are dropped: a reset must not look like an orderly end.
-    let (near_in, near_out) = tokio::io::split(near);
-    let (far_in, far_out) = tokio::io::split(far);
-    let forward = carry_direction(near_in, far_out, state.clone(), |state| state.forward);
-    let backward = carry_direction(far_in, near_out, state.clone(), |state| state.backward);
+    // These halves do not shut down the socket when they are dropped, so that a reset does not look like an orderly
+    // close.
+    let (client_in, client_out) = tokio::io::split(client_stream);
+    let (target_in, target_out) = tokio::io::split(target_stream);
+    let forward = proxy_direction(client_in, target_out, state.clone(), |state| state.forward);
+    let backward = proxy_direction(target_in, client_out, state.clone(), |state| state.backward);
     let both = async { tokio::try_join!(forward, backward).is_ok() };
-    let ended_in_order = tokio::select! {
-        in_order = both => in_order,
+    let closed_cleanly = tokio::select! {
+        clean = both => clean,
         _ = state.wait_for(|state| state.resets != resets) => false,
     };
-    if !ended_in_order {
-        // As a dying process does it: what the other party still sends is answered with a reset.
+    if !closed_cleanly {
+        // Closes with a reset, as a dying process does: bytes that the other side still sends are answered with a
+        // reset.
         for socket in &sockets {
             let _ = socket2::SockRef::from(socket).set_linger(Some(Duration::ZERO));
         }
     }
 }
 
-/// Bytes on their way through a link.
+/// Bytes in transit through a link.
 struct Chunk {
     due: Instant,
-    /// Empty at the end of the stream, which takes its time as well.
+    /// Empty at the end of the stream, which is delayed like any other bytes.
     bytes: Bytes,
 }
 
-/// Carries the bytes of one direction, each chunk after the delay that held when it was read.
-async fn carry_direction(
+/// Proxies one direction. Each chunk has the delay that was set when it was read.
+async fn proxy_direction(
     from: ReadHalf<TcpStream>,
     to: WriteHalf<TcpStream>,
     state: watch::Receiver<LinkState>,
@@ -228,7 +233,7 @@
         state
             .wait_for(|state| !direction(state).stalled)
             .await
-            // The link was dropped, and its connections end with it.
+            // The link was dropped, which ends its connections.
             .map_err(|_| std::io::ErrorKind::ConnectionAborted)?;
         if bytes.is_empty() {
             return to.shutdown().await;
--- a/crates/testbed/src/sockets/loopback.rs
+++ b/crates/testbed/src/sockets/loopback.rs
@@ -1,24 +1,25 @@
-//! Addresses and listeners on 127.0.0.0/8. Each run has a block of addresses that no other run uses at the same time,
-//! and each party of a run has an address of its own. So a port that a party gives up, while its process starts or
-//! after a fault, is still free when the party binds it again.
+//! Addresses and listeners on 127.0.0.0/8. Each run has a block of addresses that no concurrent run uses, and each
+//! listener of a run has its own address. A port that a listener releases, while its process starts or after a fault,
+//! is therefore still free when it is bound again.
 
 use std::io::{Error, ErrorKind};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 use tokio::net::{TcpListener, TcpSocket};
 
-/// Connections that the system queues for a listener.
+/// Maximum number of connections that the system queues for a listener.
 const LISTEN_BACKLOG: u32 = 256;
-/// Addresses in the block of a run. A run has one for each party, and one for each link between a zone and a server.
+/// Number of addresses in a run's block. A run uses one for each service and node, and one for each link between a zone
+/// and a server.
 const BLOCK_SIZE: u32 = 1 << 17;
-/// Blocks that runs may have at once. Block 0 has 127.0.0.1, which other programs use, and block 127 ends with a
-/// broadcast address.
+/// Indices of the blocks that runs may use. Block 0 contains 127.0.0.1, which other programs use, and block 127 ends
+/// with a broadcast address.
 const BLOCKS: std::ops::RangeInclusive<u32> = 1..=126;
-/// The port that a run listens on at the first address of its block for as long as it uses the block. The system
-/// does not choose it by itself, as its range of such ports begins higher.
+/// The port that a run listens on at the first address of its block to reserve the block. The system never assigns it,
+/// because its range of ephemeral ports begins higher.
 const RESERVATION_PORT: u16 = 20_201;
 
-/// The addresses of one run. The block is free again when this is dropped or its process ends.
+/// The block of addresses of one run. It is released when this is dropped or its process ends.
 #[derive(Debug)]
 pub struct LoopbackBlock {
     first: Ipv4Addr,
@@ -30,7 +31,7 @@
     /// Reserves a block that no other run on this machine uses.
     ///
     /// # Errors
-    /// Where all blocks are in use, or the system refuses a socket.
+    /// Returns an error if all blocks are in use, or if the system refuses a socket.
     pub fn reserve() -> std::io::Result<LoopbackBlock> {
         for block in BLOCKS {
             let first =
@@ -53,10 +54,10 @@
         ))
     }
 
-    /// The address of one more party, with port 0: the system chooses a free port.
+    /// Returns the next unused address, with port 0, so that the system chooses a free port.
     ///
     /// # Errors
-    /// Where all addresses of the block are used.
+    /// Returns an error if all addresses of the block are used.
     pub fn next_address(&mut self) -> std::io::Result<SocketAddr> {
         if self.used == BLOCK_SIZE {
             return Err(Error::new(
@@ -70,10 +71,10 @@
     }
 }
 
-/// Opens a listener whose address can be bound again at once after it was closed.
+/// Opens a listener whose address can be bound again immediately after it is closed.
 ///
 /// # Errors
-/// Where the system refuses the socket or the address is in use.
+/// Returns an error if the system refuses the socket or the address is in use.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = if address.is_ipv4() {
         TcpSocket::new_v4()?
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -1,27 +1,28 @@
-//! The driver on sockets: real `cache-router` processes on 127.0.0.0/8 before the same model of a cluster as in virtual
-//! time.
+//! Runs scenarios in real time on sockets: real `cache-router` processes on 127.0.0.0/8 in front of the same cluster
+//! model that virtual time uses.
 //!
-//! One process, the testbed, holds the emulated cache servers, the origin, the discovery service and the clients, each
-//! with listeners of their own. Between nodes and cache servers stand links that can fail. A node is one `cache-router`
-//! process. Time is real: two runs of one seed draw the same clients and faults, and differ by what the machine makes of
-//! them.
+//! One process, the testbed, runs the emulated cache servers, the origin, the discovery service and the clients, each
+//! with its own listeners. Links that can fail connect the nodes to the cache servers. A node is one `cache-router`
+//! process. Time is real: two runs with the same seed draw the same clients and faults, but timing on the machine makes
+//! them differ.
 //!
 //! | module | responsibility |
 //! | --- | --- |
 //! | `driver` | the run: set-up, schedule of faults, clients, progress, report |
 //! | `cluster` | the cluster's state and the protocol's invariants, without sockets |
-//! | `shared` | that state behind one lock, with clock and addresses |
+//! | `shared` | the cluster's state behind one lock, with clock and addresses |
 //! | `services` | emulated cache servers, origin and discovery |
-//! | [`link`] | a proxy between two parties that delays, stalls and resets |
+//! | [`link`] | a proxy between two endpoints that delays, stalls and resets connections |
 //! | `router_process` | the nodes' processes, their configurations and logs |
 //! | `fault_injection` | the fault injector that is preloaded into a node |
 //! | `client_connections` | pooled connections of clients to a node |
 //! | [`loopback`] | addresses and listeners |
 //!
-//! Tasks: the driver owns all listeners, links, requests and node processes; dropping it, as on an interrupt, ends them.
+//! Tasks: the driver owns all listeners, links, requests and node processes. Dropping it, as on an interrupt, ends
+//! them.
 //!
-//! One process for the whole cluster, because two hundred of them would measure the machine's scheduler, and invariants
-//! could only be checked after the fact.
+//! The whole cluster runs in one process, because two hundred processes would measure the machine's scheduler, and the
+//! invariants could only be checked after the run.
 
 pub(crate) mod client_connections;
 mod clock;
@@ -46,12 +47,12 @@
 use crate::scenario::Scenario;
 use driver::{Driver, needs_fault_injector};
 
-/// Nodes on sockets at most: what one machine's socket table and six cores bear.
+/// Maximum number of nodes on sockets, limited by one machine's socket table and six cores.
 pub const MAX_NODES: u32 = 300;
-/// Cache servers on sockets at most, the largest fleet that nodes are run before.
+/// Maximum number of cache servers on sockets. This is the largest fleet that nodes are tested with.
 pub const MAX_CACHE_SERVERS: u32 = 3_200;
 
-/// What a run needs besides its scenario.
+/// Options of a run in addition to its scenario.
 pub struct Options<'a> {
     /// The `cache-router` program.
     pub program: &'a Path,
@@ -59,32 +60,33 @@
     pub folder: &'a Path,
 }
 
-/// How far a run is.
+/// Progress of a run.
 #[derive(Debug, Clone)]
 pub struct Progress {
-    /// Time since the first client may have arrived, in microseconds.
+    /// Time since the first possible client arrival, in microseconds.
     pub elapsed: Micros,
     /// Length of the scenario, in microseconds.
     pub length: Micros,
-    /// Counts since the last progress.
+    /// Counts since the last progress report.
     pub recent: Counts,
-    /// Nodes that take requests.
+    /// Nodes that receive requests.
     pub nodes_up: usize,
-    /// Cache servers that run.
+    /// Running cache servers.
     pub servers_up: usize,
     /// Connections that cache servers have accepted so far.
     pub server_connections: u64,
-    /// Bytes of lists, and changes of them, that discovery has sent so far.
+    /// Bytes of endpoint lists, and of changes to them, that discovery has sent so far.
     pub list_bytes: u64,
-    /// Faults and recoveries since the last progress, in words.
+    /// Descriptions of faults and recoveries since the last progress report.
     pub messages: Vec<String>,
 }
 
-/// Runs a scenario with a seed, and reports progress twice a second. Whether it ends, fails or is dropped, nothing that
-/// it started is left.
+/// Runs a scenario with a seed, and reports progress twice a second. Whether the run completes, fails or is dropped, it
+/// leaves no process, task or socket behind.
 ///
 /// # Errors
-/// Where the scenario is too large, the fault injector that it needs is missing, a node does not start, the system refuses a socket or process, or `stop` ended first.
+/// Returns an error if the scenario is too large, the fault injector that it needs is missing, a node does not start,
+/// the system refuses a socket or process, or `stop` completes first.
 pub async fn run(
     scenario: &Scenario,
     seed: u64,
--- a/crates/testbed/src/sockets/router_process.rs
+++ b/crates/testbed/src/sockets/router_process.rs
@@ -1,5 +1,5 @@
-//! Real `cache-router` processes: each with a configuration and a log of its own in the run's folder. The process is
-//! killed when its owner is dropped.
+//! `cache-router` processes. Each has its own configuration and log in the run's folder, and is killed when its owner
+//! is dropped.
 
 use std::fs::File;
 use std::io::Error;
@@ -23,14 +23,14 @@
 use crate::deployment;
 use crate::scenario::Scenario;
 
-/// A node that has not answered a PING within this time counts as not started.
+/// A node that has not answered a PING within this time has failed to start.
 const START_TIMEOUT: Duration = Duration::from_secs(15);
-/// Pause between two PINGs to a node that is starting.
+/// Interval between PINGs to a node that is starting.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Open sockets that a node is allowed.
+/// Maximum number of open sockets of a node.
 const MAX_SOCKETS: usize = 1024;
 
-/// One node over all incarnations of its process.
+/// One node, across all incarnations of its process.
 pub struct RouterProcess {
     node: u32,
     connections: Arc<ConnectionPool>,
@@ -45,18 +45,18 @@
 }
 
 impl RouterProcess {
-    /// A node that does not run yet, with its files in `folder` and its discovery service at `discovery`. Of `address`,
-    /// which no other party may use, it takes a free port.
+    /// Creates a node that is not running yet, with its files in `folder` and its discovery service at `discovery`. It
+    /// listens at a free port of `address`, which must not be used by anything else.
     ///
     /// # Errors
-    /// Where the system gives no port.
+    /// Returns an error if the system provides no port.
     pub fn new(
         node: u32,
         address: SocketAddr,
         discovery: SocketAddr,
         folder: &Path,
     ) -> std::io::Result<RouterProcess> {
-        // Closed at once: no other party binds to this address.
+        // The listener is closed at once. The port stays free, because nothing else binds to this address.
         let address = listen(address)?.local_addr()?;
         Ok(RouterProcess {
             node,
@@ -72,12 +72,12 @@
         })
     }
 
-    /// Preloads a fault injector into the processes that are started from now on.
+    /// Preloads a fault injector into all processes that are started from now on.
     pub(super) fn inject_faults(&mut self, injection: FaultInjection) {
         self.fault_injection = Some(injection);
     }
 
-    /// Its fault injector, if it has one.
+    /// The node's fault injector, if it has one.
     pub(super) fn fault_injection(&mut self) -> Option<&mut FaultInjection> {
         self.fault_injection.as_mut()
     }
@@ -85,7 +85,7 @@
     /// Starts a process that holds `known_endpoints` from the beginning.
     ///
     /// # Errors
-    /// Where its configuration can't be written or the program can't be started.
+    /// Returns an error if the configuration can't be written or the program can't be started.
     pub fn start(
         &mut self,
         program: &Path,
@@ -128,37 +128,37 @@
         Ok(())
     }
 
-    /// Where its clients reach it.
+    /// Address for clients.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Its clients' connections.
+    /// Connections of clients to the node.
     pub fn connections(&self) -> &Arc<ConnectionPool> {
         &self.connections
     }
 
-    /// Counts the starts of its process.
+    /// Number of starts of its process.
     pub fn incarnation(&self) -> u32 {
         self.incarnation
     }
 
-    /// Whether it has a process that was not seen to end.
+    /// Returns whether it has a process whose end has not been observed.
     pub fn has_process(&self) -> bool {
         self.child.is_some()
     }
 
-    /// The id of its process, if it runs.
+    /// Process id, if it is running.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().and_then(Child::id)
     }
 
-    /// Whether its present process was asked to end.
+    /// Returns whether its current process was told to shut down.
     pub fn is_terminating(&self) -> bool {
         self.terminating
     }
 
-    /// Waits until it answers PING; false where it does not in time.
+    /// Waits until the node answers PING. Returns false if it does not answer in time.
     pub fn ready(&self) -> impl Future<Output = bool> + Send + 'static {
         let address = self.address;
         async move {
@@ -171,42 +171,42 @@
         }
     }
 
-    /// Writes another address of the discovery service into its configuration, and makes its process read it again.
+    /// Writes a new address of the discovery service to the configuration, and makes the process reload it.
     ///
     /// # Errors
-    /// Where the configuration can't be read or written.
+    /// Returns an error if the configuration can't be read or written.
     pub fn move_discovery(&mut self, discovery: SocketAddr) -> std::io::Result<()> {
         self.discovery = discovery;
         let mut config: Value = serde_json::from_slice(&std::fs::read(&self.config_path)?)?;
         config["discovery"] = json!(discovery);
-        // Replaced atomically: the process may read it at any time.
+        // The file is replaced atomically, because the process may read it at any time.
         crate::atomic_file::write_atomically(&self.config_path, config.to_string().as_bytes())?;
         self.signal(Signal::SIGHUP);
         Ok(())
     }
 
-    /// Sends its process a signal, if it has one.
+    /// Sends a signal to the process, if there is one.
     pub fn signal(&self, signal: Signal) {
         if let Some(pid) = self.pid() {
-            // A process that has just ended needs no signal.
+            // The signal fails only if the process has just ended.
             let _ = kill(Pid::from_raw(pid as i32), signal);
         }
     }
 
-    /// Asks its process to shut down gracefully.
+    /// Tells the process to shut down gracefully.
     pub fn terminate(&mut self) {
         self.terminating = true;
         self.signal(Signal::SIGTERM);
     }
 
-    /// The exit status of its process, once, if it has ended since the last call.
+    /// Returns the exit status of the process once, if it has ended since the last call.
     pub fn take_exit_status(&mut self) -> Option<ExitStatus> {
         let status = self.child.as_mut()?.try_wait().ok().flatten()?;
         self.child = None;
         Some(status)
     }
 
-    /// Waits until its process has ended; `None` where it has no process. Cancel-safe.
+    /// Waits until the process has ended. Returns `None` if there is no process. Cancel-safe.
     pub async fn wait(&mut self) -> Option<std::io::Result<ExitStatus>> {
         match &mut self.child {
             Some(child) => Some(child.wait().await),
@@ -214,16 +214,16 @@
         }
     }
 
-    /// Kills its process, waits for its end, and closes its clients' idle connections.
+    /// Kills the process, waits for its end, and closes the clients' idle connections.
     pub async fn kill(&mut self) {
         self.connections.close_idle();
         if let Some(mut child) = self.child.take() {
-            // The only failure is a process that has ended by itself.
+            // This fails only if the process has already ended.
             let _ = child.kill().await;
         }
     }
 
-    /// Why it does not start, by the last line of its log.
+    /// Returns an error that gives the last line of the log as the reason why the node did not start.
     pub fn startup_error(&self) -> SocketError {
         let log = std::fs::read_to_string(&self.log_path).unwrap_or_default();
         let last_log_line = log.lines().last().unwrap_or("its log is empty").to_string();
--- a/crates/testbed/src/sockets/services/cache_server.rs
+++ b/crates/testbed/src/sockets/services/cache_server.rs
@@ -17,14 +17,14 @@
 };
 use crate::sockets::shared::SharedCluster;
 
-/// Pause after a failed accept, when the process is out of sockets: an open connection may end meanwhile.
+/// Pause after a failed accept. If the process has run out of file descriptors, another connection may close meanwhile.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(10);
-/// Bytes of the longest command: a value of 64 KiB and what surrounds it.
+/// Maximum size of a command, in bytes: a value of 64 KiB and the rest of the command.
 const MAX_COMMAND_BYTES: usize = 80 * 1024;
 /// Initial size of a connection's input buffer, in bytes.
 const INPUT_BUFFER_BYTES: usize = 4096;
 
-/// Serves the connections of one cache server, for ever. They end with this task.
+/// Serves the connections of one cache server indefinitely. The connections end with this task.
 pub async fn serve(shared: Arc<SharedCluster>, listener: TcpListener, server: ServerNumber) {
     let mut connections = JoinSet::new();
     loop {
@@ -42,12 +42,12 @@
     }
 }
 
-/// What a command asks for.
+/// A parsed command.
 enum Command {
     Ping,
-    /// A read on behalf of a request.
+    /// A read for a client's request.
     Get(ReceivedAttempt),
-    /// Something that no node sends.
+    /// A command that nodes do not send.
     Unknown,
 }
 
@@ -75,8 +75,8 @@
     }
 }
 
-/// What becomes of a connection after a command.
-enum Next {
+/// What happens on a connection after a command.
+enum NextAction {
     /// A reply is written.
     Reply(BytesFrame),
     /// The connection is closed without a reply.
@@ -100,12 +100,12 @@
         }
     }
 
-    /// Answers one command after another until either side closes the connection.
+    /// Answers commands in order until either side closes the connection.
     async fn serve(mut self) -> std::io::Result<()> {
         self.stream.set_nodelay(true)?;
         let mut output = BytesMut::new();
         while let Some(frame) = self.read_frame().await? {
-            let Next::Reply(reply) = self.answer(&frame).await? else {
+            let NextAction::Reply(reply) = self.answer(&frame).await? else {
                 return Ok(());
             };
             output.clear();
@@ -117,7 +117,7 @@
         Ok(())
     }
 
-    /// The next frame; `None` where the connection has ended, or brings what is no RESP or too long.
+    /// Reads the next frame. Returns `None` if the connection has ended, or if the input is too long or not valid RESP.
     async fn read_frame(&mut self) -> std::io::Result<Option<BytesFrame>> {
         loop {
             let Ok(decoded) = decode_bytes_mut(&mut self.input) else {
@@ -134,11 +134,11 @@
         }
     }
 
-    async fn answer(&mut self, frame: &BytesFrame) -> std::io::Result<Next> {
+    async fn answer(&mut self, frame: &BytesFrame) -> std::io::Result<NextAction> {
         let received = match Command::parse(frame) {
             Command::Ping => {
                 let pong = BytesFrame::SimpleString(Bytes::from_static(b"PONG"));
-                return Ok(Next::Reply(pong));
+                return Ok(NextAction::Reply(pong));
             }
             Command::Unknown => return Ok(error("SYNTAX no client sent this")),
             Command::Get(received) => received,
@@ -154,18 +154,19 @@
         self.shared.notify_due_changed();
         match self.wait_for_reply(attempt).await {
             Some(reply) => self.deliver(reply).await,
-            None => Ok(Next::Close),
+            None => Ok(NextAction::Close),
         }
     }
 
-    /// Waits for the reply to an attempt; `None` where its node has given the attempt up by closing the connection.
+    /// Waits for the reply to an attempt. Returns `None` if the node has cancelled the attempt by closing the
+    /// connection.
     async fn wait_for_reply(&mut self, mut attempt: PendingAttempt) -> Option<AttemptReply> {
         loop {
             tokio::select! {
                 reply = &mut attempt.reply => {
                     return Some(reply.unwrap_or(AttemptReply::ConnectionReset));
                 }
-                // Commands that follow this one are read, and wait for their turn.
+                // Input behind this command is buffered until the reply is sent.
                 read = self.stream.read_buf(&mut self.input), if self.input.len() < MAX_COMMAND_BYTES => {
                     if read.unwrap_or(0) > 0 {
                         continue;
@@ -179,25 +180,28 @@
         }
     }
 
-    async fn deliver(&mut self, reply: AttemptReply) -> std::io::Result<Next> {
+    async fn deliver(&mut self, reply: AttemptReply) -> std::io::Result<NextAction> {
         match reply {
-            AttemptReply::Value => Ok(Next::Reply(BytesFrame::Array(vec![
+            AttemptReply::Value => Ok(NextAction::Reply(BytesFrame::Array(vec![
                 BytesFrame::BulkString(self.shared.value().clone()),
                 BytesFrame::BulkString(Bytes::from_static(b"hit")),
                 BytesFrame::Null,
             ]))),
-            AttemptReply::Miss => Ok(Next::Reply(BytesFrame::Array(vec![BytesFrame::Null; 3]))),
+            AttemptReply::Miss => Ok(NextAction::Reply(BytesFrame::Array(vec![
+                BytesFrame::Null;
+                3
+            ]))),
             AttemptReply::Busy => Ok(error("BUSY")),
             AttemptReply::Failed => Ok(error("ERR failed")),
-            AttemptReply::ConnectionReset => Ok(Next::Close),
+            AttemptReply::ConnectionReset => Ok(NextAction::Close),
             AttemptReply::Corrupt => {
                 let corrupt = format!("{CORRUPT_REPLY}\r\n");
                 self.stream.write_all(corrupt.as_bytes()).await?;
-                Ok(Next::Close)
+                Ok(NextAction::Close)
             }
             AttemptReply::Nothing => {
                 self.discard_input().await?;
-                Ok(Next::Close)
+                Ok(NextAction::Close)
             }
         }
     }
@@ -211,6 +215,6 @@
     }
 }
 
-fn error(line: &str) -> Next {
-    Next::Reply(BytesFrame::Error(line.into()))
+fn error(line: &str) -> NextAction {
+    NextAction::Reply(BytesFrame::Error(line.into()))
 }
--- a/crates/testbed/src/sockets/services/discovery.rs
+++ b/crates/testbed/src/sockets/services/discovery.rs
@@ -19,10 +19,10 @@
 
 use crate::sockets::shared::{EndpointListMessage, SharedCluster};
 
-/// A watch brings an empty line this often while nothing changes.
+/// Interval of the empty lines that a watch receives while nothing changes.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The node that a listener serves. Each node has a listener of its own, by which it is known.
+/// The node that a listener serves. Each node has its own listener, which identifies it.
 #[derive(Clone)]
 struct ServedNode {
     shared: Arc<SharedCluster>,
@@ -30,10 +30,10 @@
     zone: Zone,
 }
 
-/// The query of a call.
+/// The query parameters of a call.
 #[derive(Deserialize)]
 struct ListQuery {
-    /// 0 to poll once, otherwise to watch.
+    /// 0 for a single poll, any other value for a watch.
     #[serde(default)]
     watch: u8,
     /// The version that the node holds.
@@ -55,10 +55,10 @@
     }
 }
 
-/// Serves the endpoint list to one node, for ever. Its calls and watches end with this task.
+/// Serves the endpoint list to one node indefinitely. The node's calls and watches end with this task.
 ///
 /// # Errors
-/// Where the listener fails.
+/// Returns an error if the listener fails.
 pub async fn serve(
     shared: Arc<SharedCluster>,
     listener: TcpListener,
@@ -72,7 +72,7 @@
     axum::serve(listener, routes).await
 }
 
-/// A call or watch that is open. When it is dropped, the service learns that nobody listens any more.
+/// An open call or watch. Dropping it tells the cluster that the node no longer listens.
 struct OpenCall {
     served: ServedNode,
     messages: mpsc::Receiver<ListResponse>,
@@ -82,12 +82,12 @@
     fn drop(&mut self) {
         self.messages.close();
         let ServedNode { shared, node, .. } = &self.served;
-        shared.state().hang_up_discovery(*node);
+        shared.state().close_discovery_call(*node);
     }
 }
 
 impl OpenCall {
-    /// The next list or change as a line of JSON; `None` when the call failed or the watch has ended.
+    /// Returns the next list or change as a line of JSON, or `None` if the call failed or the watch has ended.
     async fn next_line(&mut self) -> Option<Bytes> {
         let message = self.messages.recv().await?;
         let ListResponse::Update {
@@ -111,7 +111,7 @@
         Some(line.into())
     }
 
-    /// The next line of a watch, or an empty line where nothing changes for a while.
+    /// Returns the next line of a watch, or an empty line if nothing changes for [`KEEP_ALIVE_INTERVAL`].
     async fn next_line_or_keep_alive(&mut self) -> Option<Bytes> {
         let next = tokio::time::timeout(KEEP_ALIVE_INTERVAL, self.next_line()).await;
         next.unwrap_or(Some(Bytes::from_static(b"\n")))
@@ -142,7 +142,7 @@
     (content_type, watch_body(call, first_line)).into_response()
 }
 
-/// The body of a watch's response: one line after another until the watch ends.
+/// Returns the body of a watch's response, which streams lines until the watch ends.
 fn watch_body(call: OpenCall, first_line: Bytes) -> Body {
     let state = (call, Some(first_line));
     let lines = futures_util::stream::unfold(state, |(mut call, first_line)| async move {
--- a/crates/testbed/src/sockets/services/origin.rs
+++ b/crates/testbed/src/sockets/services/origin.rs
@@ -15,15 +15,15 @@
 use crate::sockets::cluster::{AttemptReply, ReceivedAttempt, RequestId};
 use crate::sockets::shared::SharedCluster;
 
-/// The header in which a node names the request that a call is for.
+/// The header with the id of the request that a call belongs to.
 const REQUEST_HEADER: &str = "x-correlation-id";
-/// The header with the fields of the request, among them the time that is left.
+/// The header with the fields of the request, which include the remaining deadline.
 const FIELDS_HEADER: &str = "x-facts";
 
-/// Serves the origin's connections, for ever. They end with this task.
+/// Serves the origin's connections indefinitely. The connections end with this task.
 ///
 /// # Errors
-/// Where the listener fails.
+/// Returns an error if the listener fails.
 pub async fn serve(shared: Arc<SharedCluster>, listener: TcpListener) -> std::io::Result<()> {
     let routes = Router::new()
         .route("/{key}", get(fetch).put(fetch))
@@ -36,7 +36,7 @@
         return (StatusCode::BAD_REQUEST, "no request of a client").into_response();
     };
     let now = shared.now();
-    // Bound outside of the match: the lock is not held while it waits.
+    // A separate statement, so that the lock is not held while the reply is awaited.
     let attempt = shared.state().attempt_at_origin(now, received);
     shared.notify_due_changed();
     let Some(attempt) = attempt else {
@@ -52,7 +52,7 @@
         Ok(AttemptReply::Failed | AttemptReply::Miss) => {
             StatusCode::INTERNAL_SERVER_ERROR.into_response()
         }
-        Ok(AttemptReply::ConnectionReset) | Err(_) => broken_off(),
+        Ok(AttemptReply::ConnectionReset) | Err(_) => truncated_response(),
     }
 }
 
@@ -65,8 +65,8 @@
     })
 }
 
-/// A response that breaks off in its head: a process that dies takes its connections with it.
-fn broken_off() -> Response {
+/// A response whose body fails, so that the connection closes as when the process dies.
+fn truncated_response() -> Response {
     let failing_body = futures_util::stream::once(async {
         Err::<Bytes, std::io::Error>(std::io::ErrorKind::ConnectionReset.into())
     });
--- a/crates/testbed/src/sockets/shared.rs
+++ b/crates/testbed/src/sockets/shared.rs
@@ -1,5 +1,5 @@
-//! What the emulated services and the driver share: the cluster's state behind one lock, the clock, and the addresses
-//! that nodes are given.
+//! State that the emulated services and the driver share: the cluster's state behind one lock, the clock, and the
+//! addresses that nodes are given.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,19 +17,19 @@
 use super::cluster::{ClusterState, HEARTBEAT_INTERVAL, ServerNumber, server_name};
 use crate::scenario::Scenario;
 
-/// Locks a mutex, poisoned or not: a panic of another task fails the run anyway.
+/// Locks a mutex even if it is poisoned, because a panic in another task fails the run anyway.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// An endpoint list, or a change of it, as nodes are sent it.
+/// An endpoint list, or a change to it, that is sent to nodes.
 #[derive(Debug, Clone, Copy)]
 pub struct EndpointListMessage<'a> {
-    /// The version that a node holds with it.
+    /// The version that a node holds after it.
     pub version: u64,
-    /// Whether it replaces all that the node held.
+    /// Whether it replaces the list that the node holds.
     pub complete: bool,
-    /// Its cache servers.
+    /// Cache servers in the message.
     pub records: &'a [EndpointRecord],
 }
 
@@ -37,11 +37,11 @@
 #[derive(Debug, Clone, Copy)]
 struct ClockStep {
     at: Micros,
-    /// By how many microseconds; back where negative.
+    /// Offset in microseconds; negative for a step back.
     by: i64,
 }
 
-/// What passed between the nodes and the emulated services.
+/// Counts of the traffic between the nodes and the emulated services.
 #[derive(Debug, Default)]
 pub struct Traffic {
     server_connections: AtomicU64,
@@ -54,7 +54,7 @@
         self.server_connections.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts what discovery sends.
+    /// Counts bytes that discovery sends.
     pub fn count_list_bytes(&self, bytes: usize) {
         self.list_bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
@@ -70,23 +70,23 @@
     }
 }
 
-/// The emulated cluster as the services and the driver share it. No lock is held over an await.
+/// The emulated cluster, shared by the services and the driver. No lock is held across an await.
 pub struct SharedCluster {
     clock: Clock,
     state: Mutex<ClusterState>,
     due_changed: Notify,
     traffic: Traffic,
     value: Bytes,
-    /// Steps of the wall clock of the discovery service, in order.
+    /// Steps of the discovery service's wall clock, in chronological order.
     discovery_clock_steps: Mutex<Vec<ClockStep>>,
-    /// Where the nodes of each zone reach each cache server.
+    /// The address of each cache server for the nodes of each zone.
     server_addresses: Mutex<Vec<Vec<SocketAddr>>>,
     origin: SocketAddr,
     kind_names: Vec<String>,
 }
 
 impl SharedCluster {
-    /// The cluster of a scenario, whose origin is reached at an address. Its clock starts now.
+    /// Creates the cluster of a scenario, with its origin at this address. The clock starts now.
     pub fn new(scenario: &Scenario, seed: u64, origin: SocketAddr) -> SharedCluster {
         let clock = Clock::start();
         let state = ClusterState::new(scenario, seed, clock.unix_start());
@@ -107,47 +107,47 @@
         }
     }
 
-    /// Unix time, in microseconds.
+    /// Current Unix time, in microseconds.
     pub fn now(&self) -> Micros {
         self.clock.now()
     }
 
-    /// The instant of a Unix time in microseconds.
+    /// Converts a Unix time in microseconds to an instant.
     pub fn instant(&self, at: Micros) -> tokio::time::Instant {
         self.clock.instant(at)
     }
 
-    /// The value of all keys, which cache servers and the origin answer with.
+    /// The value of every key, which cache servers and the origin return.
     pub fn value(&self) -> &Bytes {
         &self.value
     }
 
-    /// What passed between the nodes and the emulated services.
+    /// Counts of the traffic between the nodes and the emulated services.
     pub fn traffic(&self) -> &Traffic {
         &self.traffic
     }
 
-    /// The state of the cluster, locked. The guard must not be held over an await.
+    /// Locks the cluster's state. The guard must not be held across an await.
     pub fn state(&self) -> MutexGuard<'_, ClusterState> {
         lock(&self.state)
     }
 
-    /// Adds the address at which the nodes of a zone reach the next cache server, by number.
+    /// Adds the address of the next cache server, by number, for the nodes of a zone.
     pub fn add_server_address(&self, zone: Zone, address: SocketAddr) {
         lock(&self.server_addresses)[usize::from(zone)].push(address);
     }
 
-    /// Makes [`run_due_work`] look again, as something may be due earlier than it was.
+    /// Wakes [`run_due_work`], because work may be due earlier than before.
     pub fn notify_due_changed(&self) {
         self.due_changed.notify_one();
     }
 
-    /// Steps the wall clock of the discovery service: servers that start from now on are listed by the new time.
+    /// Steps the wall clock of the discovery service. Servers that start from now on are listed with the stepped time.
     pub fn step_discovery_clock(&self, at: Micros, by: i64) {
         lock(&self.discovery_clock_steps).push(ClockStep { at, by });
     }
 
-    /// A time as the wall clock of the discovery service had it; 0, which is long ago, on any clock.
+    /// Converts a time to the discovery service's wall clock. 0 means long ago, and stays 0.
     fn discovery_time(&self, at: Micros) -> Micros {
         if at == 0 {
             return 0;
@@ -157,7 +157,8 @@
         at.saturating_add_signed(offset.map(|step| step.by).sum())
     }
 
-    /// A process of a node starts: returns the endpoint list that it holds from the beginning, in the protocol's form.
+    /// Starts a node's process: returns the endpoint list that it holds from the beginning, in the protocol's JSON
+    /// form.
     pub fn begin_node(&self, node: NodeId, zone: Zone) -> Value {
         let now = self.now();
         let held = self.state().begin_node(now, node);
@@ -171,12 +172,13 @@
         )
     }
 
-    /// An endpoint list or a change of it in the protocol's form, with the addresses that the nodes of a zone use.
+    /// Returns an endpoint list, or a change to it, in the protocol's JSON form, with the addresses for the nodes of a
+    /// zone.
     pub fn endpoint_list_json(&self, zone: Zone, message: EndpointListMessage<'_>) -> Value {
         let state = self.state();
         let addresses = lock(&self.server_addresses);
         let endpoint = |record: &EndpointRecord| {
-            let server = state.server_site(record.server)?;
+            let server = state.server_placement(record.server)?;
             let address = addresses
                 .get(usize::from(zone))?
                 .get(address_index(record.server))?;
@@ -208,7 +210,7 @@
     }
 }
 
-/// The place of a cache server among those of a zone: they are numbered from 1.
+/// Index of a cache server's address in its zone. Servers are numbered from 1.
 fn address_index(server: ServerNumber) -> usize {
     server as usize - 1
 }
@@ -221,7 +223,7 @@
     }
 }
 
-/// Shows the cluster that the testbed runs, for ever. The run's driver owns this task and ends it.
+/// Records indefinitely that the testbed is running. The run's driver owns this task and ends it.
 pub async fn send_heartbeats(shared: Arc<SharedCluster>) {
     let interval = Duration::from_micros(HEARTBEAT_INTERVAL);
     loop {
@@ -231,7 +233,7 @@
     }
 }
 
-/// Makes what is due in the cluster happen, for ever. The run's driver owns this task and ends it.
+/// Performs the cluster's due work indefinitely. The run's driver owns this task and ends it.
 pub async fn run_due_work(shared: Arc<SharedCluster>) {
     loop {
         let due = shared.state().next_due();
--- a/crates/testbed/tests/link.rs
+++ b/crates/testbed/tests/link.rs
@@ -1,4 +1,4 @@
-//! Links between two parties on loopback: they carry, delay, stall, reset and refuse.
+//! Links between two endpoints on loopback: they forward, delay, stall, reset and refuse.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -15,20 +15,20 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What must come has come within this time on a machine of any speed.
-const LONG: Duration = Duration::from_secs(30);
-/// What must not come is waited for this long.
-const SHORT: Duration = Duration::from_millis(100);
-/// One way.
+/// Expected bytes and connections arrive within this time on a machine of any speed.
+const ARRIVAL_TIMEOUT: Duration = Duration::from_secs(30);
+/// How long a test waits to confirm that nothing arrives.
+const SILENCE_WINDOW: Duration = Duration::from_millis(100);
+/// One-way delay.
 const DELAY: Duration = Duration::from_millis(30);
 
-/// Any free port on loopback.
+/// Loopback address with port 0, so that the system chooses a free port.
 fn any_address() -> SocketAddr {
     "127.0.0.1:0".parse().unwrap()
 }
 
-/// Starts a party that sends back all that it receives.
-async fn start_echo() -> SocketAddr {
+/// Starts a server that sends back everything that it receives.
+async fn start_echo_server() -> SocketAddr {
     let listener = TcpListener::bind(any_address()).await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
@@ -43,7 +43,12 @@
 }
 
 async fn link_to_echo() -> Link {
-    Link::open(any_address(), start_echo().await, LinkState::default()).unwrap()
+    Link::open(
+        any_address(),
+        start_echo_server().await,
+        LinkState::default(),
+    )
+    .unwrap()
 }
 
 async fn connect(link: &Link) -> TcpStream {
@@ -60,10 +65,12 @@
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(LONG, connected).await.unwrap()
+    tokio::time::timeout(ARRIVAL_TIMEOUT, connected)
+        .await
+        .unwrap()
 }
 
-/// Sends a text and reads as many bytes.
+/// Sends a text and reads the same number of bytes.
 async fn exchange(stream: &mut TcpStream, text: &[u8]) -> std::io::Result<Vec<u8>> {
     stream.write_all(text).await?;
     let mut echo = vec![0; text.len()];
@@ -79,14 +86,14 @@
 }
 
 #[tokio::test]
-async fn a_link_carries_bytes_there_and_back() {
+async fn a_link_carries_bytes_in_both_directions() {
     let link = link_to_echo().await;
     let mut stream = connect(&link).await;
     assert_eq!(exchange(&mut stream, b"one").await.unwrap(), b"one");
 }
 
 #[tokio::test]
-async fn a_delay_is_taken_in_both_directions_of_open_connections() {
+async fn a_delay_applies_to_both_directions_of_open_connections() {
     let link = link_to_echo().await;
     let mut stream = connect(&link).await;
     assert_eq!(exchange(&mut stream, b"one").await.unwrap(), b"one");
@@ -108,7 +115,7 @@
     });
     let mut stream = connect(&link).await;
     assert_eq!(exchange(&mut stream, b"one").await.unwrap(), b"one");
-    // The delay changes as well while the connection is open.
+    // The delay may also change while the connection is open.
     link.update(|state| {
         state.forward.delay = Duration::ZERO;
         state.backward.delay = Duration::ZERO;
@@ -116,12 +123,15 @@
     });
     stream.write_all(b"three").await.unwrap();
     let mut byte = [0; 8];
-    let silent = tokio::time::timeout(SHORT, stream.read(&mut byte)).await;
-    assert!(silent.is_err(), "nothing comes through a stalled link");
+    let nothing_received = tokio::time::timeout(SILENCE_WINDOW, stream.read(&mut byte)).await;
+    assert!(
+        nothing_received.is_err(),
+        "no bytes may arrive through a stalled direction"
+    );
     stream.write_all(b"four").await.unwrap();
     link.update(|state| state.backward.stalled = false);
     let mut echo = vec![0; 9];
-    tokio::time::timeout(LONG, stream.read_exact(&mut echo))
+    tokio::time::timeout(ARRIVAL_TIMEOUT, stream.read_exact(&mut echo))
         .await
         .unwrap()
         .unwrap();
@@ -137,7 +147,7 @@
     link.update(|state| state.backward.stalled = false);
     link.fail();
     let mut byte = [0; 8];
-    let reset = tokio::time::timeout(LONG, stream.read(&mut byte))
+    let reset = tokio::time::timeout(ARRIVAL_TIMEOUT, stream.read(&mut byte))
         .await
         .unwrap();
     assert_eq!(reset.unwrap_err().kind(), ErrorKind::ConnectionReset);
@@ -155,7 +165,7 @@
     let address = link.address();
     drop(link);
     let mut byte = [0; 8];
-    let read = tokio::time::timeout(LONG, stream.read(&mut byte))
+    let read = tokio::time::timeout(ARRIVAL_TIMEOUT, stream.read(&mut byte))
         .await
         .unwrap();
     assert_eq!(read.unwrap_or(0), 0);
@@ -163,11 +173,11 @@
 }
 
 #[tokio::test]
-async fn a_link_to_nobody_resets_its_connections() {
-    let nobody = listen(any_address()).unwrap().local_addr().unwrap();
-    let link = Link::open(any_address(), nobody, LinkState::default()).unwrap();
+async fn a_link_to_a_closed_port_resets_its_connections() {
+    let closed_address = listen(any_address()).unwrap().local_addr().unwrap();
+    let link = Link::open(any_address(), closed_address, LinkState::default()).unwrap();
     let mut stream = connect(&link).await;
-    let failed = tokio::time::timeout(LONG, exchange(&mut stream, b"one"))
+    let failed = tokio::time::timeout(ARRIVAL_TIMEOUT, exchange(&mut stream, b"one"))
         .await
         .unwrap();
     assert!(failed.is_err());
--- a/crates/testbed/tests/loopback.rs
+++ b/crates/testbed/tests/loopback.rs
@@ -1,5 +1,6 @@
-//! Addresses of runs beside each other. A run that shared them took another run's router for its own: a port was chosen
-//! and given up for a router to bind, and the other run's router could take it meanwhile.
+//! Tests that the loopback addresses of concurrent runs are distinct. Guards against a run that uses another run's
+//! router as its own: when runs shared addresses, a port was chosen and released for a router to bind, and another
+//! run's router could bind it in between.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -12,32 +13,32 @@
 
 use testbed::sockets::loopback::{LoopbackBlock, listen};
 
-/// Parties of each run; more than one /24 network holds.
-const PARTIES: usize = 400;
+/// Number of addresses for each run; more than one /24 network contains.
+const ADDRESSES_PER_RUN: usize = 400;
 
 #[test]
-fn runs_beside_each_other_share_no_address() {
+fn concurrent_runs_share_no_address() {
     let mut blocks: Vec<LoopbackBlock> =
         (0..4).map(|_| LoopbackBlock::reserve().unwrap()).collect();
     let addresses: Vec<IpAddr> = blocks
         .iter_mut()
-        .flat_map(|block| (0..PARTIES).map(|_| block.next_address().unwrap().ip()))
+        .flat_map(|block| (0..ADDRESSES_PER_RUN).map(|_| block.next_address().unwrap().ip()))
         .collect();
     let distinct: BTreeSet<IpAddr> = addresses.iter().copied().collect();
-    assert_eq!(distinct.len(), 4 * PARTIES);
+    assert_eq!(distinct.len(), 4 * ADDRESSES_PER_RUN);
     assert!(addresses.iter().all(IpAddr::is_loopback));
 }
 
 #[tokio::test]
-async fn a_port_that_a_party_gave_up_is_free_for_it_though_another_run_listens_there() {
-    let mut ours = LoopbackBlock::reserve().unwrap();
-    let mut others = LoopbackBlock::reserve().unwrap();
-    let address = listen(ours.next_address().unwrap())
+async fn a_released_port_can_be_bound_again_while_another_run_listens_on_it() {
+    let mut first_run = LoopbackBlock::reserve().unwrap();
+    let mut second_run = LoopbackBlock::reserve().unwrap();
+    let address = listen(first_run.next_address().unwrap())
         .unwrap()
         .local_addr()
         .unwrap();
-    let mut elsewhere = others.next_address().unwrap();
-    elsewhere.set_port(address.port());
-    let _other_party = listen(elsewhere).unwrap();
+    let mut other_address = second_run.next_address().unwrap();
+    other_address.set_port(address.port());
+    let _other_listener = listen(other_address).unwrap();
     assert_eq!(listen(address).unwrap().local_addr().unwrap(), address);
 }
--- a/crates/testbed/tests/socket_run/mod.rs
+++ b/crates/testbed/tests/socket_run/mod.rs
@@ -1,11 +1,11 @@
-//! A run of a scenario on sockets, with the nodes of this build, as several tests need it.
+//! Runs a scenario on sockets with the nodes of this build, for several tests.
 
 use std::path::Path;
 
 use testbed::sockets::{Options, Progress, SocketError, run};
 use testbed::{Report, Scenario, program};
 
-/// Runs a scenario until its end, or until `stop` is ready. The nodes' configurations and logs are in `folder`.
+/// Runs a scenario until its end, or until `stop` completes. The nodes' configurations and logs are in `folder`.
 pub fn run_scenario(
     scenario: &Scenario,
     seed: u64,
--- a/crates/testbed/tests/sockets.rs
+++ b/crates/testbed/tests/sockets.rs
@@ -1,5 +1,5 @@
-//! Short runs on sockets with real nodes and faults. What is asserted holds on a machine of any speed: who is answered,
-//! which invariants hold, what is left behind; never how quickly.
+//! Short runs on sockets with real nodes and faults. The assertions hold on a machine of any speed: they check which
+//! requests are answered, which invariants hold and what is left behind, never how fast.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -27,7 +27,7 @@
     Span(Duration::from_millis(millis))
 }
 
-/// A small fleet for three seconds, whose latency objectives are so long that a slow machine meets them too.
+/// A small fleet that runs for three seconds. Its latency objectives are long enough for a slow machine to meet them.
 fn small_fleet() -> Scenario {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("scenarios/demo.toml");
     let mut scenario = Scenario::read(&path).unwrap();
@@ -45,7 +45,7 @@
     scenario
 }
 
-/// A run that has ended, and the folder with its nodes' configurations and logs.
+/// A completed run, and the folder with its nodes' configurations and logs.
 struct EndedRun {
     folder: tempfile::TempDir,
     result: Result<Report, SocketError>,
@@ -81,7 +81,7 @@
 }
 
 fn assert_each_request_ends_once(report: &Report) {
-    let ends = |counts: &Counts| {
+    let outcomes = |counts: &Counts| {
         counts.in_time
             + counts.late
             + counts.rejected
@@ -89,9 +89,9 @@
             + counts.timed_out
             + counts.abandoned
     };
-    let asked = sum(report, |counts| counts.requests);
-    assert_eq!(asked, sum(report, ends), "{report}");
-    assert!(asked > 100, "{report}");
+    let requests_sent = sum(report, |counts| counts.requests);
+    assert_eq!(requests_sent, sum(report, outcomes), "{report}");
+    assert!(requests_sent > 100, "{report}");
 }
 
 #[test]
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn nodes_killed_and_paused_while_clients_write_run_nothing_twice() {
+fn no_write_runs_twice_when_nodes_are_killed_and_paused() {
     let mut scenario = small_fleet();
     for class in &mut scenario.classes {
         (class.idempotency, class.write) = (Idempotency::NotIdempotent, true);
@@ -176,7 +176,7 @@
     assert!(report.invariants_hold() && report.service > 0.3, "{report}");
     assert!(
         report.attempts_by_server.keys().any(|server| *server > 6),
-        "one that was started in place of another: {report}"
+        "no attempt reached a replacement server: {report}"
     );
 }
 
@@ -193,7 +193,7 @@
     let config = std::fs::read_to_string(ended.folder.path().join("n0.json")).unwrap();
     let config: serde_json::Value = serde_json::from_str(&config).unwrap();
     let address: SocketAddr = config["listen"].as_str().unwrap().parse().unwrap();
-    // Killed; the system may take a moment to see it.
+    // The node was killed, but the system may take a moment to close its listener.
     while std::net::TcpStream::connect(address).is_ok() {
         std::thread::yield_now();
     }
@@ -208,7 +208,7 @@
     let ended = run_to_end(&scenario);
     let error = ended.error().to_string();
     assert!(
-        error.contains("301 nodes and 6 cache servers: on sockets at most 300 and 3200"),
+        error.contains("301 nodes and 6 cache servers exceed the limits on sockets, 300 and 3200"),
         "{error}"
     );
     assert_eq!(std::fs::read_dir(ended.folder.path()).unwrap().count(), 0);
@@ -224,7 +224,7 @@
 #[test]
 fn a_node_that_does_not_start_is_reported_with_the_end_of_its_log() {
     let mut scenario = small_fleet();
-    // A node whose settings name no class refuses to start.
+    // A node whose settings contain no class refuses to start.
     scenario.classes.clear();
     let ended = run_to_end(&scenario);
     let error = ended.error().to_string();
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn broken_replies_and_malformed_peers_serve_no_client_a_wrong_value() {
+fn damaged_replies_and_malformed_traffic_serve_no_client_a_wrong_value() {
     let mut scenario = small_fleet();
     for class in &mut scenario.classes {
         (class.latency_objective, class.deadline, class.share) =
@@ -261,12 +261,12 @@
     assert!(report.invariants_hold() && report.service > 0.3, "{report}");
     assert!(
         sum(report, |counts| counts.failed) > 0,
-        "a write whose answer broke may have run: {report}"
+        "a write whose reply was damaged may have run, so it must count as failed: {report}"
     );
 }
 
 #[test]
-fn a_rolling_restart_under_load_loses_nothing() {
+fn a_rolling_restart_under_load_loses_no_request() {
     let mut scenario = small_fleet();
     scenario.load.retries = 0;
     scenario.faults = vec![
--- a/crates/testbed/tests/sockets_answers.rs
+++ b/crates/testbed/tests/sockets_answers.rs
@@ -1,4 +1,5 @@
-//! Answers that are owed, on sockets with real nodes: after the client's deadline, and in a shutdown that is cut short.
+//! Answers that nodes must give, in runs on sockets with real nodes: after the client's deadline, and in a shutdown
+//! that ends with a kill.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -21,7 +22,7 @@
     Span(Duration::from_millis(millis))
 }
 
-/// One node for three seconds, whose clients wait 0.2 s and never retry.
+/// One node that runs for three seconds. Its clients wait 0.2 s and never retry.
 fn one_node(faults: Vec<FaultEvent>) -> Scenario {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("scenarios/demo.toml");
     let mut scenario = Scenario::read(&path).unwrap();
@@ -40,7 +41,7 @@
     scenario
 }
 
-/// Runs a scenario to its end, with what its progress said.
+/// Runs a scenario to its end, and returns its report and progress messages.
 fn run_to_end(scenario: &Scenario) -> (Report, Vec<String>) {
     let folder = tempfile::tempdir().unwrap();
     let mut messages = Vec::new();
@@ -57,19 +58,19 @@
 }
 
 #[test]
-fn a_request_whose_deadline_passes_is_owed_its_answer_to_the_end_of_the_run() {
-    // From its pause the node never comes back, as it lasts longer than the run.
-    let forever = FaultEvent::PauseNodes {
+fn a_request_past_its_deadline_is_lost_if_it_is_never_answered() {
+    // The pause is longer than the run, so the node never resumes.
+    let endless_pause = FaultEvent::PauseNodes {
         at: millis(1_000),
         part: 1.0,
         lasts: millis(60_000),
     };
-    let (report, _) = run_to_end(&one_node(vec![forever]));
+    let (report, _) = run_to_end(&one_node(vec![endless_pause]));
     assert!(violates(&report, "lost: "), "{report}");
 }
 
 #[test]
-fn answers_that_a_pause_puts_off_are_late_and_not_lost() {
+fn answers_delayed_by_a_pause_are_late_but_not_lost() {
     let pause = FaultEvent::PauseNodes {
         at: millis(1_000),
         part: 1.0,
@@ -82,14 +83,14 @@
 }
 
 #[test]
-fn a_node_that_outlasts_its_shutdown_is_killed_and_loses_what_it_had_open() {
+fn a_node_that_exceeds_its_shutdown_time_is_killed_and_loses_its_open_requests() {
     let faults = vec![
         FaultEvent::RestartNodes {
             at: millis(1_000),
             part: 1.0,
             over: millis(1),
         },
-        // It neither answers nor ends, and its clients go on sending on the connections that they have.
+        // The paused node neither answers nor ends, while its clients keep sending on their existing connections.
         FaultEvent::PauseNodes {
             at: millis(1_000),
             part: 1.0,
@@ -97,17 +98,17 @@
         },
     ];
     let (report, messages) = run_to_end(&one_node(faults));
-    let killed = "node 0 was killed in its shutdown";
+    let killed = "node 0 was killed during its shutdown";
     let killed = messages.iter().position(|message| message == killed);
     let back = messages
         .iter()
-        .position(|message| message == "node 0 is back");
+        .position(|message| message == "node 0 is ready");
     assert!(killed.is_some() && killed < back, "{messages:?}");
     assert!(violates(&report, "lost: "), "{report}");
 }
 
 #[test]
-fn a_node_that_ends_in_time_is_not_killed_and_loses_nothing() {
+fn a_node_that_exits_in_time_is_not_killed_and_loses_no_request() {
     let restart = FaultEvent::RestartNodes {
         at: millis(1_000),
         part: 1.0,
--- a/crates/testbed/tests/sockets_rules.rs
+++ b/crates/testbed/tests/sockets_rules.rs
@@ -1,4 +1,4 @@
-//! The rules of the protocol as the cluster of the driver on sockets applies them, without sockets and at given times.
+//! Tests the protocol's rules on the emulated cluster of the sockets driver, without sockets and at fixed times.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -52,15 +52,15 @@
     cluster.begin_request(now, request, NODE, &client);
 }
 
-/// An attempt that tells no time.
-fn attempt_of(request: RequestId) -> ReceivedAttempt {
+/// An attempt that states no remaining deadline.
+fn attempt_without_deadline(request: RequestId) -> ReceivedAttempt {
     ReceivedAttempt {
         request,
         remaining: None,
     }
 }
 
-/// The violations so far, in words.
+/// The descriptions of all violations so far.
 fn violations(cluster: &mut ClusterState) -> Vec<String> {
     let violations = cluster.end(START).violations();
     violations.iter().map(ToString::to_string).collect()
@@ -73,44 +73,48 @@
 }
 
 #[test]
-fn an_attempt_long_after_the_end_of_its_request_is_seen() {
+fn an_attempt_long_after_the_end_of_its_request_is_a_violation() {
     for after in [200 * MILLISECOND, 2 * SECOND] {
         let mut cluster = cluster(&scenario());
         begin_request(&mut cluster, START, 1);
         cluster.request_answered(START + MILLISECOND, 1, false);
         let sent_at = START + MILLISECOND + after;
-        cluster.forget_requests_over(sent_at);
-        cluster.attempt_at_server(sent_at, 1, attempt_of(1));
+        cluster.forget_finished_requests(sent_at);
+        cluster.attempt_at_server(sent_at, 1, attempt_without_deadline(1));
         assert!(violates(&mut cluster, "after its end"), "{after}");
     }
 }
 
 #[test]
-fn requests_that_ended_are_forgotten_once_no_attempt_can_be_meant_for_them() {
+fn ended_requests_are_forgotten_once_no_attempt_can_arrive_for_them() {
     let mut cluster = cluster(&scenario());
     begin_request(&mut cluster, START, 1);
     cluster.request_answered(START, 1, false);
-    cluster.forget_requests_over(START + 10 * SECOND);
+    cluster.forget_finished_requests(START + 10 * SECOND);
     assert!(
         cluster
-            .attempt_at_server(START + 10 * SECOND, 1, attempt_of(1))
+            .attempt_at_server(START + 10 * SECOND, 1, attempt_without_deadline(1))
             .is_none()
     );
 }
 
 #[test]
-fn of_the_requests_that_ended_a_bounded_number_is_kept() {
+fn the_number_of_ended_requests_kept_is_bounded() {
     let mut cluster = cluster(&scenario());
     let last = 200_000;
     for request in 1..=last {
         begin_request(&mut cluster, START, request);
         cluster.request_answered(START, request, false);
     }
-    cluster.forget_requests_over(START);
-    assert!(cluster.attempt_at_server(START, 1, attempt_of(1)).is_none());
+    cluster.forget_finished_requests(START);
     assert!(
         cluster
-            .attempt_at_server(START, 1, attempt_of(last))
+            .attempt_at_server(START, 1, attempt_without_deadline(1))
+            .is_none()
+    );
+    assert!(
+        cluster
+            .attempt_at_server(START, 1, attempt_without_deadline(last))
             .is_some()
     );
 }
@@ -136,21 +140,21 @@
         publish(&mut cluster, START, 1, Condition::Draining);
         let now = START + 8 * SECOND;
         begin_request(&mut cluster, now, 1);
-        cluster.attempt_at_server(now, 1, attempt_of(1));
+        cluster.attempt_at_server(now, 1, attempt_without_deadline(1));
         assert_eq!(violates(&mut cluster, "drain: "), violated);
     }
 }
 
-/// Sends requests at once to a server that has just started, until it collapses.
+/// Sends requests at the same time to a server that has just started, until it collapses.
 fn overload(cluster: &mut ClusterState, now: Micros, server: ServerNumber) {
     for request in 1..10_000 {
         begin_request(cluster, now, request);
-        cluster.attempt_at_server(now, server, attempt_of(request));
+        cluster.attempt_at_server(now, server, attempt_without_deadline(request));
         if cluster.take_events().collapsed.contains(&server) {
             return;
         }
     }
-    panic!("the server does not collapse");
+    panic!("the server did not collapse under overload");
 }
 
 #[test]
@@ -172,14 +176,14 @@
 }
 
 #[test]
-fn attempts_at_cache_servers_and_the_origin_may_tell_what_is_left_and_no_more() {
-    // Half of the deadline has passed when they are sent.
+fn attempts_may_state_no_more_than_the_remaining_deadline() {
+    // Half of the deadline has passed when the attempts are sent.
     let sent_at = START + SECOND;
     let (left, slack) = (SECOND, 150 * MILLISECOND);
-    for (told, violated) in [(left + slack, false), (left + 2 * slack, true)] {
+    for (stated, violated) in [(left + slack, false), (left + 2 * slack, true)] {
         let received = ReceivedAttempt {
             request: 1,
-            remaining: Some(told),
+            remaining: Some(stated),
         };
         let mut at_server = cluster(&scenario());
         begin_request(&mut at_server, START, 1);
@@ -192,8 +196,8 @@
     }
 }
 
-/// An attempt that tells the whole deadline half a second after that has passed.
-fn tells_whole_deadline(cluster: &mut ClusterState, now: Micros) {
+/// Sends an attempt that states the whole deadline, half a second after the deadline has passed.
+fn send_attempt_with_full_deadline(cluster: &mut ClusterState, now: Micros) {
     begin_request(cluster, now - 2_500 * MILLISECOND, 1);
     let received = ReceivedAttempt {
         request: 1,
@@ -203,19 +207,19 @@
 }
 
 #[test]
-fn a_node_knows_nothing_of_the_time_in_which_a_request_lay_unread() {
+fn time_in_which_a_request_was_unread_is_not_held_against_the_node() {
     let now = START + 3 * SECOND;
     let mut running = cluster(&scenario());
     running.heartbeat(now - HEARTBEAT_INTERVAL);
-    tells_whole_deadline(&mut running, now);
+    send_attempt_with_full_deadline(&mut running, now);
     assert!(violates(&mut running, "deadline: "));
     let mut paused = cluster(&scenario());
     paused.node_paused(START, NODE);
     paused.node_resumed(now, NODE);
-    tells_whole_deadline(&mut paused, now);
+    send_attempt_with_full_deadline(&mut paused, now);
     assert!(!violates(&mut paused, "deadline: "));
     let mut stalled = cluster(&scenario());
     stalled.heartbeat(START);
-    tells_whole_deadline(&mut stalled, now);
+    send_attempt_with_full_deadline(&mut stalled, now);
     assert!(!violates(&mut stalled, "deadline: "));
 }
