--- a/crates/testbed/src/baseline/mod.rs
+++ b/crates/testbed/src/baseline/mod.rs
@@ -1,5 +1,6 @@
-//! What one node can do and what it costs: load sent straight to servers that answer at once, and through one real node
-//! that stands before them. Both get the same load in one run, so that the difference is the node alone.
+//! Measures what one node can sustain and what it costs. Load is sent both directly to servers that answer at once and
+//! through one real node in front of them. Both get the same load in one run, so the difference is due to the node
+//! alone.
 
 mod node_keeper;
 mod rate_search;
@@ -15,19 +16,19 @@
 
 use crate::load::StubServer;
 use crate::sockets::SocketError;
-use node_keeper::{NodeKeeper, NodeProcess};
+use node_keeper::{NodeProcess, NodeSupervisor};
 pub use rate_search::{max_sustained_rate, sustained};
 
 /// Number of cache servers behind the node.
 const SERVERS: u32 = 4;
 /// Duration of a clock tick in `/proc/PID/stat`, in milliseconds.
 const CLOCK_TICK_MS: u64 = 10;
-/// Index of the user time in `/proc/PID/stat`, counted from the field after the name.
+/// Index of the user time in `/proc/PID/stat`, counted from the field after the process name.
 const USER_TIME_FIELD: usize = 11;
-/// The same for the system time.
+/// Index of the system time, counted in the same way.
 const SYSTEM_TIME_FIELD: usize = 12;
 
-/// One node before servers that answer at once.
+/// One node in front of servers that answer at once.
 pub struct NodeUnderTest {
     servers: Vec<StubServer>,
     process: NodeProcess,
@@ -36,10 +37,10 @@
 }
 
 impl NodeUnderTest {
-    /// Starts a node and the servers behind it. The node's files go to `folder`.
+    /// Starts a node and the servers behind it. The node's files are written to `folder`.
     ///
     /// # Errors
-    /// If the system provides no port or process, or the node does not start.
+    /// Returns an error if the system provides no port or process, or if the node does not start.
     pub fn start(
         program: &Path,
         folder: &Path,
@@ -49,7 +50,7 @@
             .map(|_| StubServer::start(value_bytes, Duration::ZERO))
             .collect::<Result<_, _>>()
             .map_err(|e| SocketError::io("cannot start the servers", e))?;
-        let keeper = NodeKeeper {
+        let supervisor = NodeSupervisor {
             program: program.to_path_buf(),
             folder: folder.to_path_buf(),
             value_bytes: value_bytes as u64,
@@ -57,10 +58,10 @@
         };
         let (stop, stopped) = oneshot::channel();
         let (started_sender, started) = channel();
-        let thread = std::thread::spawn(move || keeper.run(&started_sender, stopped));
+        let thread = std::thread::spawn(move || supervisor.run(&started_sender, stopped));
         let ended = || {
             let error = std::io::ErrorKind::Other.into();
-            SocketError::io("the node's keeper has ended", error)
+            SocketError::io("the node supervisor thread ended without a result", error)
         };
         let process = started.recv().map_err(|_| ended())??;
         Ok(NodeUnderTest {
@@ -71,25 +72,25 @@
         })
     }
 
-    /// Where the node is reached.
+    /// Address of the node.
     pub fn node(&self) -> SocketAddr {
         self.process.address
     }
 
-    /// Where the first of the servers is reached.
+    /// Address of the first server.
     pub fn server(&self) -> SocketAddr {
         self.servers[0].address()
     }
 
-    /// Id of the node's process, for tools that inspect it.
+    /// Process id of the node, for tools that inspect it.
     pub fn pid(&self) -> u32 {
         self.process.pid
     }
 
-    /// Processor time that the node has used, if the system tells it.
+    /// CPU time that the node has used, if the system provides it.
     pub fn cpu(&self) -> Option<Duration> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.process.pid)).ok()?;
-        // The name may hold anything, but ends with the last bracket.
+        // The process name may contain any character, but the last closing parenthesis ends it.
         let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
         let ticks = |field: usize| fields.get(field)?.parse::<u64>().ok();
         let used = ticks(USER_TIME_FIELD)? + ticks(SYSTEM_TIME_FIELD)?;
@@ -99,7 +100,7 @@
 
 impl Drop for NodeUnderTest {
     fn drop(&mut self) {
-        // This tells the keeper to end.
+        // Dropping the sender tells the supervisor to stop.
         drop(self.stop.take());
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
--- a/crates/testbed/src/baseline/node_keeper.rs
+++ b/crates/testbed/src/baseline/node_keeper.rs
@@ -1,4 +1,4 @@
-//! Keeps the node under test and its endpoint list service on a thread of its own.
+//! Runs the node under test and its discovery service on a dedicated thread.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -17,31 +17,30 @@
 use crate::sockets::services::discovery;
 use crate::sockets::shared::{SharedCluster, run_due_work};
 
-/// A node that was told to end is killed after this time.
+/// A node that was told to shut down is killed after this time.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The node's process.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct NodeProcess {
-    /// Where clients reach it.
+    /// Address for clients.
     pub(super) address: SocketAddr,
-    /// Its id.
+    /// Process id.
     pub(super) pid: u32,
 }
 
-/// The process of a node that has started, or why it did not.
-pub(super) type Started = Result<NodeProcess, SocketError>;
+/// The process of a node that has started, or the reason why it did not start.
+pub(super) type StartResult = Result<NodeProcess, SocketError>;
 
-/// A node that runs, with what it needs. The service ends when its tasks are dropped; its addresses are free for other
-/// runs after that.
+/// A running node with its discovery service and addresses. Dropping the tasks ends the service; after that, the
+/// addresses are free for other runs.
 struct RunningNode {
     node: RouterProcess,
     _service: JoinSet<()>,
     _addresses: LoopbackBlock,
 }
 
-/// Starts a node with its endpoint list service, and keeps both until it is told to stop.
-pub(super) struct NodeKeeper {
+/// Starts a node with its discovery service, and keeps both running until it is told to stop.
+pub(super) struct NodeSupervisor {
     pub(super) program: PathBuf,
     pub(super) folder: PathBuf,
     pub(super) value_bytes: u64,
@@ -49,21 +48,21 @@
     pub(super) servers: Vec<SocketAddr>,
 }
 
-impl NodeKeeper {
-    /// Runs on a thread of its own until `stopped` ends.
-    pub(super) fn run(self, started: &Sender<Started>, stopped: oneshot::Receiver<()>) {
+impl NodeSupervisor {
+    /// Runs until `stopped` completes. Called on a dedicated thread.
+    pub(super) fn run(self, started: &Sender<StartResult>, stopped: oneshot::Receiver<()>) {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build();
         match runtime {
-            Ok(runtime) => runtime.block_on(self.keep(started, stopped)),
+            Ok(runtime) => runtime.block_on(self.supervise(started, stopped)),
             Err(e) => {
                 let _ = started.send(Err(SocketError::io("cannot start a runtime", e)));
             }
         }
     }
 
-    async fn keep(self, started: &Sender<Started>, stopped: oneshot::Receiver<()>) {
+    async fn supervise(self, started: &Sender<StartResult>, stopped: oneshot::Receiver<()>) {
         let mut running = match self.start().await {
             Ok(running) => running,
             Err(e) => {
@@ -75,16 +74,16 @@
             address: running.node.address(),
             pid: running.node.pid().unwrap_or(0),
         };
-        // Nobody may wait for it any more; then `stopped` has ended as well.
+        // A failed send means that the receiver was dropped. `stopped` has completed as well in that case.
         let _ = started.send(Ok(process));
         let _ = stopped.await;
-        // It is told to end before it is killed, so that a profiler that it runs under can write its results.
+        // The node gets SIGTERM before it is killed, so that a profiler that it runs under can write its results.
         running.node.signal(Signal::SIGTERM);
         let _ = tokio::time::timeout(SHUTDOWN_TIMEOUT, running.node.wait()).await;
         running.node.kill().await;
     }
 
-    /// Starts the endpoint list service and the node.
+    /// Starts the discovery service and the node.
     async fn start(self) -> Result<RunningNode, SocketError> {
         let system_error = |e| SocketError::io("cannot start a node", e);
         let scenario = scenario(self.value_bytes);
@@ -92,7 +91,7 @@
         let listener =
             listen(addresses.next_address().map_err(system_error)?).map_err(system_error)?;
         let list = listener.local_addr().map_err(system_error)?;
-        // The origin needs an address, and is never called: nothing misses.
+        // The list needs an address for the origin. It is never called, because the servers never miss.
         let origin = self.servers[0];
         let shared = Arc::new(SharedCluster::new(&scenario, 1, origin));
         for server in self.servers {
--- a/crates/testbed/src/baseline/rate_search.rs
+++ b/crates/testbed/src/baseline/rate_search.rs
@@ -1,37 +1,37 @@
-//! Finds the largest rate that an address sustains.
+//! Searches for the maximum rate that a target sustains.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use crate::load::{Load, Outcome, send};
 
-/// Largest rate that is tried, in requests per second.
+/// Maximum rate that is tested, in requests per second.
 const MAX_RATE: f64 = 1_000_000.0;
-/// Smallest rate that is tried, in requests per second.
+/// Minimum rate that is tested, in requests per second.
 const MIN_RATE: f64 = 1.0;
-/// A rate is sustained if this fraction of the requests is served
+/// Minimum fraction of the requests that must be served for a rate to count as sustained.
 const MIN_SERVED_SHARE: f64 = 0.999;
-/// and the 99th percentile of the latency is at most this.
+/// Maximum 99th percentile of the latency for a rate to count as sustained.
 const MAX_P99: Duration = Duration::from_millis(50);
-/// The search for the largest sustained rate ends when its bounds are within this factor.
+/// The search ends when the ratio of its upper to its lower bound is at most this.
 const SEARCH_PRECISION: f64 = 1.04;
 
-/// Whether a rate was sustained.
+/// Returns whether a rate was sustained.
 pub fn sustained(outcome: &Outcome) -> bool {
     outcome.served as f64 >= outcome.intended as f64 * MIN_SERVED_SHARE
         && outcome.latency.value_at_quantile(0.99) <= MAX_P99.as_nanos() as u64
 }
 
-/// The largest rate that an address sustains, in requests per second; 0 if it sustains none. From the load's rate on,
-/// rates are doubled until one is not sustained, or halved until one is, and what lies between is bisected. Each rate and
-/// its outcome are passed to `tried`.
+/// Returns the maximum rate that an address sustains, in requests per second, or 0 if it sustains none. The search
+/// starts at the load's rate. It doubles the rate until one is not sustained, or halves it until one is, and then
+/// bisects the interval between the two. `on_result` is called with each rate and its outcome.
 ///
 /// # Errors
-/// If the address can't be reached.
+/// Returns an error if the address can't be reached.
 pub fn max_sustained_rate(
     to: SocketAddr,
     load: &Load,
-    mut tried: impl FnMut(f64, &Outcome),
+    mut on_result: impl FnMut(f64, &Outcome),
 ) -> std::io::Result<f64> {
     let mut sustains = |per_s: f64| {
         let load = Load {
@@ -39,7 +39,7 @@
             ..load.clone()
         };
         let outcome = send(to, &load)?;
-        tried(per_s, &outcome);
+        on_result(per_s, &outcome);
         Ok::<_, std::io::Error>(sustained(&outcome))
     };
     let mut low = load.per_s;
--- a/crates/testbed/src/baseline/scenario.rs
+++ b/crates/testbed/src/baseline/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenario of a measurement.
+//! The scenario that the node under test is configured with.
 
 use std::time::Duration;
 
