--- a/crates/cache-router/src/cache_protocol.rs
+++ b/crates/cache-router/src/cache_protocol.rs
@@ -51,13 +51,13 @@
 /// If the bytes are not a reply of this protocol. What is received next can't be matched to a request.
 pub fn decode(
     buffer: &mut BytesMut,
-    load_names: &[String],
+    load_report_names: &[String],
 ) -> Result<Option<ServerResponse>, ProtocolError> {
     let reply = resp::take_value(buffer).map_err(|_| ProtocolError)?;
     match reply {
         None => Ok(None),
-        Some(Value::Array(elements)) => decode_array(&elements, load_names).map(Some),
-        Some(Value::Error(line)) => Ok(Some(decode_error(&line, load_names))),
+        Some(Value::Array(elements)) => decode_array(&elements, load_report_names).map(Some),
+        Some(Value::Error(line)) => Ok(Some(decode_error(&line, load_report_names))),
         Some(_) => Err(ProtocolError),
     }
 }
@@ -65,7 +65,7 @@
 /// Decodes the array that answers a read or a write: the value, the result of the cache lookup, and a load report.
 fn decode_array(
     elements: &[Value],
-    load_names: &[String],
+    load_report_names: &[String],
 ) -> Result<ServerResponse, ProtocolError> {
     let (status, value) = match elements.get(reply_element::VALUE) {
         Some(Value::BulkString(Some(value))) => (AttemptStatus::Served, Some(value.clone())),
@@ -75,7 +75,10 @@
     Ok(ServerResponse {
         status,
         cache_lookup: parse_lookup(text_element(elements, reply_element::LOOKUP)),
-        load: parse_load(text_element(elements, reply_element::LOAD), load_names),
+        load: parse_load(
+            text_element(elements, reply_element::LOAD),
+            load_report_names,
+        ),
         value,
         reusable: true,
     })
@@ -92,7 +95,7 @@
 }
 
 /// Decodes an error reply. The first word distinguishes a rejection from a failure; the last word may be a load report.
-fn decode_error(line: &[u8], load_names: &[String]) -> ServerResponse {
+fn decode_error(line: &[u8], load_report_names: &[String]) -> ServerResponse {
     let line = std::str::from_utf8(line).unwrap_or("");
     let status = match line.split(' ').next() {
         Some("BUSY") => AttemptStatus::Rejected,
@@ -102,7 +105,7 @@
     ServerResponse {
         status,
         cache_lookup: CacheLookup::Unknown,
-        load: parse_load(last_word, load_names),
+        load: parse_load(last_word, load_report_names),
         value: None,
         reusable: true,
     }
--- a/crates/cache-router/src/connection_pool.rs
+++ b/crates/cache-router/src/connection_pool.rs
@@ -104,7 +104,7 @@
         // Four fifths of the time after which the server closes an idle connection. A request that is written to a
         // closed connection ends in a reset: it may have run, and so may not be retried. The timeout is not much
         // shorter: with many routers, each of them uses a given server only every few seconds.
-        let idle_timeout = deployment.idle_close / 5 * 4;
+        let idle_timeout = deployment.server_idle_timeout / 5 * 4;
         let expected_connect_time = deployment.connect_timeout.max(MIN_CONNECT_TIMEOUT);
         // A connection that takes longer than the longest request deadline can serve no request that is waiting now.
         let longest_deadline = deployment
--- a/crates/cache-router/src/event_loop.rs
+++ b/crates/cache-router/src/event_loop.rs
@@ -172,8 +172,8 @@
             self.clock.now(),
             format_args!(
                 "start {} {} {} {} {} {} {} {}",
-                settings.balancer_index,
-                settings.balancer_count,
+                settings.router_index,
+                settings.router_count,
                 settings.cold_capacity_share,
                 settings.warm_up_period,
                 settings.overload_multiple,
@@ -224,7 +224,7 @@
                 self.handle_failed_call(&call, ListUpdate::Failed);
             }
             RouterEvent::WatchStalled(call) => {
-                self.handle_failed_call(&call, ListUpdate::WatchSilent);
+                self.handle_failed_call(&call, ListUpdate::WatchStalled);
             }
             RouterEvent::DiscoveryMoved(address) => {
                 self.driver.discovery_mut().set_address(address)
--- a/crates/cache-router/src/origin_protocol.rs
+++ b/crates/cache-router/src/origin_protocol.rs
@@ -43,7 +43,7 @@
 /// If the bytes are not a response of this protocol, or its value is too long.
 pub fn decode(
     buffer: &mut BytesMut,
-    load_names: &[String],
+    load_report_names: &[String],
 ) -> Result<Option<ServerResponse>, ProtocolError> {
     let Some(head) = http::parse_head(buffer).map_err(|_| ProtocolError)? else {
         return Ok(None);
@@ -51,7 +51,7 @@
     if (100..200).contains(&head.status) {
         // An interim response, which the final response follows.
         let _ = buffer.split_to(head.head_length);
-        return decode(buffer, load_names);
+        return decode(buffer, load_report_names);
     }
     let body = if head.chunked {
         decode_chunked_body(buffer, &head)?
@@ -61,13 +61,16 @@
     } else {
         take_sized_body(buffer, &head)?
     };
-    Ok(body.map(|body| response(&head, body, load_names)))
+    Ok(body.map(|body| response(&head, body, load_report_names)))
 }
 
 /// Removes the response that ends with its connection: the regular end of the connection completes a response without a
 /// length. `None` if the received bytes are not such a response. A reset of the connection does not complete a
 /// response.
-pub fn decode_at_end(buffer: &mut BytesMut, load_names: &[String]) -> Option<ServerResponse> {
+pub fn decode_at_end(
+    buffer: &mut BytesMut,
+    load_report_names: &[String],
+) -> Option<ServerResponse> {
     let head = http::parse_head(buffer).ok()??;
     if !head.ends_with_connection() {
         return None;
@@ -77,7 +80,7 @@
         content: buffer.split().freeze(),
         reusable: false,
     };
-    Some(response(&head, body, load_names))
+    Some(response(&head, body, load_report_names))
 }
 
 /// Checks that a body which ends with its connection does not exceed the maximum size of a value.
@@ -141,7 +144,7 @@
     }
 }
 
-fn response(head: &ResponseHead, body: Body, load_names: &[String]) -> ServerResponse {
+fn response(head: &ResponseHead, body: Body, load_report_names: &[String]) -> ServerResponse {
     let status = match head.status {
         STATUS_OK => AttemptStatus::Served,
         STATUS_SERVICE_UNAVAILABLE | STATUS_GATEWAY_TIMEOUT if head.unprocessed => {
@@ -152,7 +155,7 @@
     ServerResponse {
         status,
         cache_lookup: cache_protocol::parse_lookup(head.lookup.as_deref().unwrap_or("")),
-        load: cache_protocol::parse_load(head.load.as_deref().unwrap_or(""), load_names),
+        load: cache_protocol::parse_load(head.load.as_deref().unwrap_or(""), load_report_names),
         value: (status == AttemptStatus::Served).then_some(body.content),
         reusable: body.reusable,
     }
--- a/crates/cache-router/src/server_connection.rs
+++ b/crates/cache-router/src/server_connection.rs
@@ -254,19 +254,19 @@
     }
 
     fn decode(&self, buffer: &mut BytesMut) -> Result<Option<ServerResponse>, ProtocolError> {
-        let load_names = &self.context.deployment.load_names;
+        let load_report_names = &self.context.deployment.load_report_names;
         match self.protocol {
-            ServerProtocol::Resp => cache_protocol::decode(buffer, load_names),
-            ServerProtocol::Http => origin_protocol::decode(buffer, load_names),
+            ServerProtocol::Resp => cache_protocol::decode(buffer, load_report_names),
+            ServerProtocol::Http => origin_protocol::decode(buffer, load_report_names),
         }
     }
 
     /// The response whose end is the regular end of the connection, if there is one.
     fn decode_at_end(&self, buffer: &mut BytesMut) -> Option<ServerResponse> {
-        let load_names = &self.context.deployment.load_names;
+        let load_report_names = &self.context.deployment.load_report_names;
         match self.protocol {
             ServerProtocol::Resp => None,
-            ServerProtocol::Http => origin_protocol::decode_at_end(buffer, load_names),
+            ServerProtocol::Http => origin_protocol::decode_at_end(buffer, load_report_names),
         }
     }
 }
--- a/crates/cache-router/src/trace.rs
+++ b/crates/cache-router/src/trace.rs
@@ -73,7 +73,7 @@
         ListUpdate::Cached => "Cached",
         ListUpdate::Delta => "Delta",
         ListUpdate::Failed => "Failed",
-        ListUpdate::WatchSilent => "Silent",
+        ListUpdate::WatchStalled => "Silent",
     }
 }
 
--- a/crates/cache-router/tests/server_starts/fleet.rs
+++ b/crates/cache-router/tests/server_starts/fleet.rs
@@ -18,7 +18,7 @@
 
 fn settings() -> Settings {
     Settings {
-        balancer_count: ROUTERS as u32,
+        router_count: ROUTERS as u32,
         cold_capacity_share: 0.1,
         warm_up_period: 10 * SECOND,
         overload_multiple: 2.0,
--- a/crates/cache-router/tests/trace.rs
+++ b/crates/cache-router/tests/trace.rs
@@ -48,7 +48,7 @@
         ListUpdate::Cached,
         ListUpdate::Delta,
         ListUpdate::Failed,
-        ListUpdate::WatchSilent,
+        ListUpdate::WatchStalled,
     ];
     assert_eq!(
         updates.map(update_word).join(" "),
--- a/crates/routing-policy/src/interface/endpoint.rs
+++ b/crates/routing-policy/src/interface/endpoint.rs
@@ -59,5 +59,5 @@
     Failed,
     /// An open watch has stalled, which discovery itself cannot report. The list stays in force, but the router
     /// soon counts as notified of changes that it misses.
-    WatchSilent,
+    WatchStalled,
 }
--- a/crates/routing-policy/src/interface/settings.rs
+++ b/crates/routing-policy/src/interface/settings.rs
@@ -6,9 +6,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// Number of routers in front of the fleet.
-    pub balancer_count: u32,
+    pub router_count: u32,
     /// Index of this router among them, from 0.
-    pub balancer_index: u32,
+    pub router_index: u32,
     /// The zone of this router.
     pub zone: u8,
     /// The classes of requests.
@@ -19,7 +19,7 @@
     /// unrequested.
     pub poll_discovery: bool,
     /// A router without a watch counts as notified of a change this long after it happened.
-    pub notified_within: Micros,
+    pub notification_period: Micros,
     /// Machine kind of the origin in the endpoint list; `None` where cache servers fetch for themselves.
     pub origin_kind: Option<u16>,
     /// Whether weights in the endpoint list are the sizes of servers.
@@ -61,13 +61,13 @@
 impl Default for Settings {
     fn default() -> Self {
         Settings {
-            balancer_count: 1,
-            balancer_index: 0,
+            router_count: 1,
+            router_index: 0,
             zone: 0,
             classes: vec![RequestClass::default()],
             tenants: Vec::new(),
             poll_discovery: false,
-            notified_within: 10_000_000,
+            notification_period: 10_000_000,
             origin_kind: None,
             weights_are_sizes: false,
             weights_are_live: false,
@@ -96,7 +96,7 @@
 impl Settings {
     /// The number of routers, at least one.
     pub(crate) fn router_count(&self) -> f64 {
-        f64::from(self.balancer_count.max(1))
+        f64::from(self.router_count.max(1))
     }
 
     /// The longest latency objective of all classes, at least a microsecond.
@@ -122,7 +122,7 @@
     /// The value of an answer in time.
     pub priority_weight: f64,
     /// Fraction of the priority weight that an answer after the objective still has.
-    pub late_weight: f64,
+    pub late_weight_fraction: f64,
     /// Whether a retry of such a request repeats its effect.
     pub idempotency: Idempotency,
 }
@@ -133,7 +133,7 @@
             latency_objective: 250_000,
             deadline: 1_000_000,
             priority_weight: 1.0,
-            late_weight: 0.0,
+            late_weight_fraction: 0.0,
             idempotency: Idempotency::Idempotent,
         }
     }
--- a/crates/routing-policy/src/policy/attempts.rs
+++ b/crates/routing-policy/src/policy/attempts.rs
@@ -31,7 +31,7 @@
 /// Whether idle connections are closed, because they cost more than they save. Whatever the traffic, the cost
 /// of keeping connections open grows with the number of routers, and the cost of opening them again does not.
 pub(super) fn closes_idle_connections(settings: &Settings) -> bool {
-    let keeping_cost = f64::from(settings.balancer_count) * settings.connection_cost;
+    let keeping_cost = f64::from(settings.router_count) * settings.connection_cost;
     keeping_cost > CONNECTION_COST_ROUTERS * settings.handshake_cost
 }
 
--- a/crates/routing-policy/src/policy/endpoints.rs
+++ b/crates/routing-policy/src/policy/endpoints.rs
@@ -20,7 +20,7 @@
 
 /// The interval between two visits of this router to a server, as a multiple of that in a small deployment.
 pub(super) fn relative_visit_interval(settings: &Settings) -> f64 {
-    (f64::from(settings.balancer_count) / SMALL_DEPLOYMENT_ROUTERS).max(1.0)
+    (f64::from(settings.router_count) / SMALL_DEPLOYMENT_ROUTERS).max(1.0)
 }
 
 impl Policy {
@@ -29,7 +29,7 @@
             ListUpdate::Failed => return self.on_discovery_failed(),
             // No backoff: the router has already waited for the timeout of the watch, which began at a
             // different time at each router.
-            ListUpdate::WatchSilent => return self.actions.push(Action::Subscribe(true)),
+            ListUpdate::WatchStalled => return self.actions.push(Action::Subscribe(true)),
             ListUpdate::Cached => {}
             ListUpdate::Full | ListUpdate::Delta => self.discovery_failures = 0,
         }
@@ -80,7 +80,7 @@
         // A call that times out costs discovery work as well, so many routers begin with a longer backoff.
         let has_many_routers = self.relative_visit_interval > 1.0;
         let doublings = self.discovery_failures + u32::from(has_many_routers);
-        let first = self.settings.notified_within / FIRST_BACKOFF_DIVISOR;
+        let first = self.settings.notification_period / FIRST_BACKOFF_DIVISOR;
         let mean = (first << doublings.min(MAX_BACKOFF_DOUBLINGS)).min(LONGEST_MEAN_BACKOFF_US);
         let backoff = (mean as f64 * (0.5 + self.random.unit())) as Micros;
         self.discovery_failures += 1;
--- a/crates/routing-policy/src/policy/requests.rs
+++ b/crates/routing-policy/src/policy/requests.rs
@@ -17,7 +17,7 @@
         let deadline_at = self.now + arrived.remaining_deadline.saturating_sub(margin);
         let class = &self.settings.classes[arrived.class];
         let objective_at = self.now + class.latency_objective.saturating_sub(since_first_request);
-        let is_useful_late = class.late_weight > 0.0;
+        let is_useful_late = class.late_weight_fraction > 0.0;
         let late_from = objective_at.saturating_sub(margin).min(deadline_at);
         let useful_until = if is_useful_late {
             deadline_at
--- a/crates/routing-policy/src/policy/selection.rs
+++ b/crates/routing-policy/src/policy/selection.rs
@@ -94,7 +94,7 @@
             LOAD_BOUND_FACTOR + (LOAD_BOUND_FACTOR_CONGESTED - LOAD_BOUND_FACTOR) * congestion;
         let attempts = f64::from(policy.fleet.cache_attempts_in_flight + 1);
         // A single router counts as two: with the whole lower limit to itself, it would overload one server.
-        let router_count = f64::from(policy.settings.balancer_count.max(2));
+        let router_count = f64::from(policy.settings.router_count.max(2));
         let heaviest = policy.fleet.heaviest.and_then(|id| policy.fleet.get(id));
         Selection {
             policy,
--- a/crates/routing-policy/src/settings.rs
+++ b/crates/routing-policy/src/settings.rs
@@ -22,11 +22,11 @@
     /// Names of the machine kinds.
     pub kinds: Vec<String>,
     /// Names of the fields of a load report, in the order of [`Settings::load_fields`].
-    pub load_names: Vec<String>,
+    pub load_report_names: Vec<String>,
     /// Time after which a connection that is not established has failed, in microseconds.
     pub connect_timeout: Micros,
     /// Time after which servers close an idle connection, in microseconds.
-    pub idle_close: Micros,
+    pub server_idle_timeout: Micros,
     /// Requests that a router may have in flight at once.
     pub max_open: usize,
 }
@@ -121,8 +121,8 @@
     fn default() -> Self {
         let base = Settings::default();
         WireSettings {
-            balancers: base.balancer_count,
-            me: base.balancer_index,
+            balancers: base.router_count,
+            me: base.router_index,
             zone: base.zone,
             classes: Vec::new(),
             realms: Vec::new(),
@@ -148,7 +148,7 @@
             goal_time_us: base.latency_objective as f64,
             deadline_us: base.deadline as f64,
             gain: base.priority_weight,
-            late_value: base.late_weight,
+            late_value: base.late_weight_fraction,
             effect: "side_effect".into(),
             dedup_scope: "cell".into(),
             dedup_window_us: 0.0,
@@ -186,7 +186,7 @@
     fn default() -> Self {
         let base = Settings::default();
         WireGuarantees {
-            ask_within_us: base.notified_within as f64,
+            ask_within_us: base.notification_period as f64,
             cold_share: base.cold_capacity_share,
             cold_us: base.warm_up_period as f64,
             drain_grace_us: base.drain_grace as f64,
@@ -226,9 +226,9 @@
         tenants: wire.realms.into_iter().map(|tenant| tenant.name).collect(),
         zones: wire.zones,
         kinds: wire.machine_types,
-        load_names: wire.report.fields,
+        load_report_names: wire.report.fields,
         connect_timeout: micros(wire.limits.connect_timeout_us),
-        idle_close: micros(wire.limits.idle_close_us),
+        server_idle_timeout: micros(wire.limits.idle_close_us),
         max_open: wire.limits.max_open,
     })
 }
@@ -241,13 +241,13 @@
     let limits = &wire.limits;
     let guarantees = &wire.guarantees;
     Ok(Settings {
-        balancer_count: wire.balancers,
-        balancer_index: wire.me,
+        router_count: wire.balancers,
+        router_index: wire.me,
         zone: wire.zone,
         classes: classes?,
         tenants: wire.realms.iter().map(tenant).collect(),
         poll_discovery: wire.discovery == "ask",
-        notified_within: micros(guarantees.ask_within_us),
+        notification_period: micros(guarantees.ask_within_us),
         origin_kind: origin_kind(&wire.specifics),
         weights_are_sizes: matches!(wire.weight_source.as_str(), "nominal" | "rough"),
         weights_are_live: wire.weight_source == "live",
@@ -311,7 +311,7 @@
         latency_objective: micros(wire.goal_time_us),
         deadline: micros(wire.deadline_us),
         priority_weight: wire.gain,
-        late_weight: wire.late_value,
+        late_weight_fraction: wire.late_value,
         idempotency,
     })
 }
--- a/crates/routing-policy/tests/admission.rs
+++ b/crates/routing-policy/tests/admission.rs
@@ -128,7 +128,7 @@
 fn one_of_many_routers_admits_a_tenant_within_its_quota_and_limits_one_three_times_over_it() {
     // With 515 routers, a rate extrapolated from one request a second rejected tenants within their quotas.
     let config = Settings {
-        balancer_count: 500,
+        router_count: 500,
         tenants: vec![Tenant { quota_per_s: 500.0 }, Tenant { quota_per_s: 500.0 }],
         may_hedge: false,
         ..settings()
@@ -163,7 +163,7 @@
 fn saved_tokens_do_not_keep_an_overload_going() {
     // Incident i291613: full buckets at 1,499 routers held 15 s of traffic at the lowest quota multiplier.
     let mut config = Settings {
-        balancer_count: 1000,
+        router_count: 1000,
         may_hedge: false,
         ..settings()
     };
--- a/crates/routing-policy/tests/attempts.rs
+++ b/crates/routing-policy/tests/attempts.rs
@@ -148,7 +148,7 @@
         };
         let mut router = TestRouter::new(
             Settings {
-                balancer_count: routers,
+                router_count: routers,
                 ..costly_connections
             },
             3,
@@ -166,7 +166,7 @@
     let costly_connections = Settings {
         connection_cost: 0.03,
         handshake_cost: 0.03,
-        balancer_count: 400,
+        router_count: 400,
         ..settings()
     };
     let is_retried = |status| {
--- a/crates/routing-policy/tests/endpoints.rs
+++ b/crates/routing-policy/tests/endpoints.rs
@@ -84,7 +84,7 @@
     );
     router.actions.clear();
     for _ in 0..2 {
-        router.update_endpoints(ListUpdate::WatchSilent, Vec::new());
+        router.update_endpoints(ListUpdate::WatchStalled, Vec::new());
         assert!(router.actions.contains(&Action::Subscribe(true)));
         router.actions.clear();
     }
@@ -104,7 +104,7 @@
 fn discovery_is_called_again_before_a_change_counts_as_notified_however_often_it_fails() {
     let config = Settings {
         poll_discovery: true,
-        notified_within: 10 * SECOND,
+        notification_period: 10 * SECOND,
         ..settings()
     };
     let mut router = TestRouter::new(config, 3);
@@ -128,8 +128,8 @@
     let backoff = |routers: u32, failures: usize, seed: u64| {
         let config = Settings {
             poll_discovery: true,
-            notified_within: 10 * SECOND,
-            balancer_count: routers,
+            notification_period: 10 * SECOND,
+            router_count: routers,
             ..settings()
         };
         let mut router = TestRouter::seeded(config, 3, seed);
@@ -167,23 +167,23 @@
     // The failed call may have taken two seconds, and a quarter of the six seconds is kept as a margin.
     struct Case {
         routers: u32,
-        notified_within: Micros,
+        notification_period: Micros,
     }
     let case = |routers, seconds: u64| Case {
         routers,
-        notified_within: seconds * SECOND,
+        notification_period: seconds * SECOND,
     };
     let cases = [case(1, 1), case(1, 60), case(300, 10), case(300, 600)];
     for Case {
         routers,
-        notified_within,
+        notification_period,
     } in cases
     {
         for seed in 0..20 {
             let config = Settings {
-                balancer_count: routers,
+                router_count: routers,
                 poll_discovery: true,
-                notified_within,
+                notification_period,
                 ..settings()
             };
             let mut router = TestRouter::seeded(config, 3, seed);
@@ -193,7 +193,7 @@
                 while !router.advance(10 * MS).contains(&Action::Subscribe(true)) {
                     assert!(
                         router.now - since <= 2_400 * MS,
-                        "{routers} {notified_within} {seed}"
+                        "{routers} {notification_period} {seed}"
                     );
                 }
                 assert!(
--- a/crates/routing-policy/tests/origin_limiter.rs
+++ b/crates/routing-policy/tests/origin_limiter.rs
@@ -60,7 +60,7 @@
 fn the_window_limits_calls_that_are_within_the_outstanding_cap() {
     let mut config = settings();
     config.tenants = vec![Tenant { quota_per_s: 40.0 }];
-    config.balancer_count = 1;
+    config.router_count = 1;
     let mut router = TestRouter::new(config, 3);
     let mut sent = 0;
     for id in 1..=12 {
@@ -277,7 +277,7 @@
 fn fetched(routers: u32, reads: u64, interval: Micros, fetch_time: Micros) -> (usize, usize) {
     let mut router = TestRouter::new(
         Settings {
-            balancer_count: routers,
+            router_count: routers,
             ..settings()
         },
         3,
--- a/crates/routing-policy/tests/outlier.rs
+++ b/crates/routing-policy/tests/outlier.rs
@@ -205,7 +205,7 @@
     let attempts_there = |routers: u32| {
         let mut router = TestRouter::new(
             Settings {
-                balancer_count: routers,
+                router_count: routers,
                 ..settings()
             },
             4,
--- a/crates/routing-policy/tests/overload.rs
+++ b/crates/routing-policy/tests/overload.rs
@@ -110,7 +110,7 @@
     let mut router = TestRouter::new(
         Settings {
             may_hedge: false,
-            balancer_count: 100,
+            router_count: 100,
             ..settings()
         },
         0,
@@ -153,7 +153,7 @@
         let mut router = TestRouter::new(
             Settings {
                 may_hedge: false,
-                balancer_count: routers,
+                router_count: routers,
                 ..settings()
             },
             4,
--- a/crates/routing-policy/tests/properties.rs
+++ b/crates/routing-policy/tests/properties.rs
@@ -119,7 +119,7 @@
                 ..RequestClass::default()
             };
             Settings {
-                balancer_count: routers,
+                router_count: routers,
                 classes: vec![
                     class(Idempotency::Idempotent),
                     class(Idempotency::Deduplicated {
--- a/crates/routing-policy/tests/requests.rs
+++ b/crates/routing-policy/tests/requests.rs
@@ -56,7 +56,7 @@
     // In a full-size run, 515 routers that each messaged all others sent 12,360 broadcasts in 18 s, and the run
     // failed.
     let mut config = settings();
-    (config.tenants, config.balancer_count) = (vec![Tenant { quota_per_s: 100.0 }], 4);
+    (config.tenants, config.router_count) = (vec![Tenant { quota_per_s: 100.0 }], 4);
     config.may_message_peers = true;
     let mut router = TestRouter::new(config, 20);
     router.handle_event(Event::PeerMessage {
@@ -80,7 +80,7 @@
     let retry_afters = |max_retry_after: Micros| {
         let mut config = Settings {
             max_retry_after,
-            balancer_count: 400,
+            router_count: 400,
             ..settings()
         };
         config.tenants = vec![Tenant { quota_per_s: 1.0 }];
@@ -161,7 +161,7 @@
 fn an_objective_shorter_than_two_ticks_is_handled() {
     // The timer of the objective was set before the present time, and the subtraction underflowed.
     let mut config = Settings {
-        balancer_count: 0,
+        router_count: 0,
         ..settings()
     };
     config.classes[0].latency_objective = 0;
@@ -281,7 +281,7 @@
 fn a_client_that_leaves_frees_the_place_of_its_deferred_call() {
     let mut router = TestRouter::new(
         Settings {
-            balancer_count: 100,
+            router_count: 100,
             ..settings()
         },
         3,
@@ -336,7 +336,7 @@
     for hedge_in_flight in [false, true] {
         let mut router = TestRouter::new(
             Settings {
-                balancer_count: 100,
+                router_count: 100,
                 may_hedge: true,
                 ..settings()
             },
--- a/crates/routing-policy/tests/selection.rs
+++ b/crates/routing-policy/tests/selection.rs
@@ -73,7 +73,7 @@
     let sent_to_first = |at_capacity: bool| {
         let mut router = TestRouter::new(
             Settings {
-                balancer_count: 8,
+                router_count: 8,
                 ..settings()
             },
             4,
--- a/crates/routing-policy/tests/slow_start.rs
+++ b/crates/routing-policy/tests/slow_start.rs
@@ -143,7 +143,7 @@
             quota_per_s: 100_000.0,
         }];
         let config = Settings {
-            balancer_count: 1000,
+            router_count: 1000,
             cold_capacity_share: 0.9,
             tenants,
             ..settings()
@@ -186,7 +186,7 @@
         quota_per_s: 2_000.0,
     }];
     let config = Settings {
-        balancer_count: 100,
+        router_count: 100,
         cold_capacity_share: 0.12,
         tenants,
         ..settings()
@@ -222,7 +222,7 @@
     // three times its capacity, and more when clients retried rejected requests. It collapsed 9 s after its
     // start.
     let config = Settings {
-        balancer_count: 100,
+        router_count: 100,
         cold_capacity_share: 0.2,
         may_hedge: false,
         ..settings()
@@ -290,7 +290,7 @@
     let (mut strong, mut weak) = (0, 0);
     for seed in 1..=30u64 {
         let config = Settings {
-            balancer_count: 100,
+            router_count: 100,
             cold_capacity_share: 0.2,
             may_hedge: false,
             ..settings()
@@ -347,7 +347,7 @@
         let tenants = vec![Tenant { quota_per_s }];
         let (routers, warm_up) = (100, 1_000_000 * SECOND);
         let config = Settings {
-            balancer_count: routers,
+            router_count: routers,
             warm_up_period: warm_up,
             cold_capacity_share: 0.2,
             tenants,
--- a/crates/routing-policy/tests/slow_start_fleet.rs
+++ b/crates/routing-policy/tests/slow_start_fleet.rs
@@ -83,7 +83,7 @@
         let base_settings = Fleet::settings(router_count);
         let router = |index: u32| {
             let settings = Settings {
-                balancer_index: index,
+                router_index: index,
                 ..base_settings.clone()
             };
             TestRouter::seeded(settings, SERVERS, seed * 1_000 + u64::from(index))
@@ -103,7 +103,7 @@
 
     fn settings(routers: u32) -> Settings {
         Settings {
-            balancer_count: routers,
+            router_count: routers,
             cold_capacity_share: 0.2,
             warm_up_period: 20 * SECOND,
             overload_multiple: 2.5,
@@ -187,7 +187,7 @@
     /// Replaces a router by a new process. Its attempts in flight are lost with the old one.
     fn restart(&mut self, router: usize, now: Micros) {
         let settings = Settings {
-            balancer_index: router as u32,
+            router_index: router as u32,
             ..Fleet::settings(self.routers.len() as u32)
         };
         let mut new_router = TestRouter::seeded(settings, SERVERS, self.rng.below(1 << 40));
--- a/crates/routing-policy/tests/unit/selection_reference.rs
+++ b/crates/routing-policy/tests/unit/selection_reference.rs
@@ -58,7 +58,7 @@
     Settings {
         classes: vec![class],
         origin_kind: Some(9),
-        balancer_count: [1, 5, 300][draws.below(3) as usize],
+        router_count: [1, 5, 300][draws.below(3) as usize],
         weights_are_sizes: draws.is_one_in(2),
         weights_are_live: draws.is_one_in(3),
         ..Settings::default()
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -126,7 +126,7 @@
         update: ListUpdate,
         number: u16,
     ) -> Result<Vec<Endpoint>, HostError> {
-        if matches!(update, ListUpdate::Failed | ListUpdate::WatchSilent) {
+        if matches!(update, ListUpdate::Failed | ListUpdate::WatchStalled) {
             return Ok(Vec::new());
         }
         let list = self.lists.get(usize::from(number)).and_then(Option::as_ref);
--- a/crates/testbed/src/deployment.rs
+++ b/crates/testbed/src/deployment.rs
@@ -29,9 +29,9 @@
 pub const ORIGIN_WORK_DEVIATION: f64 = 0.3;
 /// After SIGTERM the platform waits for the longest deadline before it kills a node, but for at most this time, in
 /// microseconds.
-const KILL_DEADLINE_CAP: Micros = 3_000_000;
+const MAX_KILL_DEADLINE: Micros = 3_000_000;
 /// Time that the platform waits in addition to the deadline before it kills a node, in microseconds.
-const KILL_SLACK: Micros = 700_000;
+const KILL_GRACE_PERIOD: Micros = 700_000;
 /// Largest number of keys that are cached at the beginning of a run. The most popular keys are cached.
 const MAX_INITIAL_KEYS: u64 = 200_000;
 /// Deadline of the requests that determine the initial server of a key, in microseconds.
@@ -149,8 +149,8 @@
 }
 
 /// The model's fault that makes a fraction of the calls to the origin fail.
-pub fn fault(how: OriginFailure, share: f64) -> FaultInjection {
-    let fault = match how {
+pub fn fault(failure: OriginFailure, share: f64) -> FaultInjection {
+    let fault = match failure {
         OriginFailure::Late => Fault::Late,
         OriginFailure::Early => Fault::Early,
     };
@@ -195,7 +195,7 @@
 
 /// The shortest time between SIGTERM and the platform's kill of a node, in microseconds.
 pub fn earliest_kill_after_terminate(scenario: &Scenario) -> Micros {
-    longest_deadline(scenario).min(KILL_DEADLINE_CAP) + KILL_SLACK
+    longest_deadline(scenario).min(MAX_KILL_DEADLINE) + KILL_GRACE_PERIOD
 }
 
 /// Whether requests of a class may run more than once. `class` is its index in the scenario.
