--- a/crates/cache-router/src/startup/error.rs
+++ b/crates/cache-router/src/startup/error.rs
@@ -17,7 +17,7 @@
     Settings(#[from] router_config::ConfigError),
     /// The log cannot be set up.
     #[error(transparent)]
-    Logging(#[from] logging::AlreadySet),
+    Logging(#[from] logging::AlreadyInitialized),
     /// The configuration is unusable.
     #[error("{0}")]
     Config(ConfigError),
--- a/crates/cluster-model/src/endpoint_list.rs
+++ b/crates/cluster-model/src/endpoint_list.rs
@@ -34,7 +34,7 @@
 
 /// State of a server as known to the service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Condition {
+pub enum ServerState {
     /// The server accepts requests.
     Ready,
     /// The server completes the requests that it has accepted and accepts no others.
@@ -49,7 +49,7 @@
     /// Id of the server.
     pub server: u32,
     /// State of the server.
-    pub condition: Condition,
+    pub condition: ServerState,
     /// Time of the latest start of the server; 0 for long ago.
     pub started: Micros,
 }
@@ -139,7 +139,7 @@
     pub fn new(config: EndpointListConfig, servers: impl IntoIterator<Item = u32>) -> Self {
         let ready = |server| EndpointRecord {
             server,
-            condition: Condition::Ready,
+            condition: ServerState::Ready,
             started: 0,
         };
         EndpointList {
@@ -196,7 +196,7 @@
     /// Applies a change to the list and adds it to the history.
     fn record_change(&mut self, record: EndpointRecord) {
         self.version += 1;
-        if record.condition == Condition::Removed {
+        if record.condition == ServerState::Removed {
             self.records.remove(&record.server);
         } else {
             self.records.insert(record.server, record);
@@ -288,7 +288,7 @@
     }
 
     /// Moves the service to another address, which ends all watches and calls. Returns their failures.
-    pub fn relocate(&mut self) -> Vec<NodeResponse> {
+    pub fn move_to_new_address(&mut self) -> Vec<NodeResponse> {
         let watching = std::mem::take(&mut self.watches).into_keys();
         let waiting = std::mem::take(&mut self.queue).into_iter();
         watching
@@ -307,7 +307,7 @@
         if available {
             Vec::new()
         } else {
-            self.relocate()
+            self.move_to_new_address()
         }
     }
 }
--- a/crates/cluster-model/src/invariants/drain.rs
+++ b/crates/cluster-model/src/invariants/drain.rs
@@ -42,7 +42,7 @@
 
 impl Invariants {
     /// Records that discovery learns whether a server is ready. A ready server counts as newly started.
-    pub fn readiness_known(&mut self, now: Micros, server: u32, ready: bool) {
+    pub fn discovery_learned_readiness(&mut self, now: Micros, server: u32, ready: bool) {
         if ready {
             self.drain_notices.not_ready.remove(server);
             self.known_starts.insert(now, server);
@@ -52,7 +52,7 @@
     }
 
     /// Records that a node is notified whether a server is ready.
-    pub fn notified(&mut self, now: Micros, node: NodeId, server: u32, ready: bool) {
+    pub fn node_notified(&mut self, now: Micros, node: NodeId, server: u32, ready: bool) {
         let notice = Notice { node, server };
         let notified = &mut self.drain_notices.notified;
         if ready {
--- a/crates/cluster-model/src/invariants/late_send.rs
+++ b/crates/cluster-model/src/invariants/late_send.rs
@@ -32,7 +32,7 @@
     /// Whether an attempt that starts now violates the invariant.
     fn forbids_sending(self, now: Micros, limits: &InvariantLimits) -> bool {
         match self {
-            RequestEnd::Answered { at } => now >= at + limits.sent_grace,
+            RequestEnd::Answered { at } => now >= at + limits.in_flight_grace,
             RequestEnd::ClientGone { at } => now > at + limits.client_gone_grace,
         }
     }
@@ -57,7 +57,7 @@
     }
 
     /// Records that a node sends an attempt of a request that had ended and is no longer tracked.
-    pub fn sent_after_forgetting(&mut self, now: Micros, request: impl Into<RequestKey>) {
+    pub fn sent_untracked_request(&mut self, now: Micros, request: impl Into<RequestKey>) {
         self.record_violation(now, ViolationKind::SentAfterEnd(request.into()));
     }
 }
--- a/crates/cluster-model/src/invariants/limits.rs
+++ b/crates/cluster-model/src/invariants/limits.rs
@@ -8,7 +8,7 @@
     /// A final answer may arrive this long after the request's deadline. It is worth nothing then, but is no violation.
     pub answer_grace: Micros,
     /// An attempt that was sent before its request was answered may be observed up to this long after the answer.
-    pub sent_grace: Micros,
+    pub in_flight_grace: Micros,
     /// An attempt may start up to this long after the request's client has closed its connection or cancelled.
     pub client_gone_grace: Micros,
     /// An attempt may overstate the time that is left until the deadline by this much.
@@ -26,7 +26,7 @@
     fn default() -> Self {
         InvariantLimits {
             answer_grace: 500_000,
-            sent_grace: 0,
+            in_flight_grace: 0,
             client_gone_grace: 100_000,
             deadline_slack: 150_000,
             drain_grace: 550_000,
--- a/crates/cluster-model/src/invariants/mod.rs
+++ b/crates/cluster-model/src/invariants/mod.rs
@@ -104,7 +104,7 @@
     }
 
     /// Stops tracking a request that has ended. To be called once no attempt of the request is in flight any more.
-    pub fn forget(&mut self, request: impl Into<RequestKey>) {
+    pub fn untrack_ended(&mut self, request: impl Into<RequestKey>) {
         let request = request.into();
         let accepted = self.requests.get(&request);
         if accepted.is_some_and(|accepted| accepted.end.is_some()) {
--- a/crates/cluster-model/src/invariants/told_deadline.rs
+++ b/crates/cluster-model/src/invariants/told_deadline.rs
@@ -7,7 +7,7 @@
 
 impl Invariants {
     /// Records that an attempt that is sent now tells its cache server how long the node will wait.
-    pub fn told_deadline(
+    pub fn attempt_stated_deadline(
         &mut self,
         now: Micros,
         request: impl Into<RequestKey>,
--- a/crates/cluster-model/src/origin.rs
+++ b/crates/cluster-model/src/origin.rs
@@ -16,9 +16,9 @@
     /// Duration of saturation after which the origin collapses; 0 for never.
     pub collapse_after: Micros,
     /// Time without a rejection that ends a period of saturation.
-    pub relief: Micros,
+    pub saturation_end_delay: Micros,
     /// Time from a collapse until the origin accepts calls again.
-    pub recovery: Micros,
+    pub restart_delay: Micros,
 }
 
 /// How the origin answers a call.
@@ -38,9 +38,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// Calls are processed and fail at the end.
-    Late,
+    FailAfterProcessing,
     /// Calls are rejected on arrival, unprocessed.
-    Early,
+    RejectOnArrival,
 }
 
 /// Result of the arrival of a call.
@@ -63,7 +63,8 @@
     pub share: f64,
 }
 
-/// A period in which the origin kept rejecting calls. It ends after [`OriginConfig::relief`] without a rejection.
+/// A period in which the origin kept rejecting calls. It ends after [`OriginConfig::saturation_end_delay`] without a
+/// rejection.
 #[derive(Debug, Clone, Copy)]
 struct Saturation {
     since: Micros,
@@ -129,8 +130,8 @@
         self.down_until = None;
         let injected = self.fault.filter(|injection| draw < injection.share);
         let response = match injected.map(|injection| injection.fault) {
-            Some(Fault::Early) => return Admission::Answered(Response::Unprocessed),
-            Some(Fault::Late) => Response::Failed,
+            Some(Fault::RejectOnArrival) => return Admission::Answered(Response::Unprocessed),
+            Some(Fault::FailAfterProcessing) => Response::Failed,
             None => Response::Done,
         };
         if self.machine.submit(now, job, work) {
@@ -145,10 +146,10 @@
 
     /// Records a rejection. Returns whether it makes the origin collapse, as the saturation has lasted too long.
     fn rejection_causes_collapse(&mut self, now: Micros) -> bool {
-        let relief = self.config.relief;
+        let saturation_end_delay = self.config.saturation_end_delay;
         let since = self
             .saturation
-            .filter(|saturation| saturation.last_rejection + relief >= now)
+            .filter(|saturation| saturation.last_rejection + saturation_end_delay >= now)
             .map_or(now, |saturation| saturation.since);
         self.saturation = Some(Saturation {
             since,
@@ -160,7 +161,7 @@
     /// Stops the process until its restart. Returns the accepted calls, which are lost.
     fn collapse(&mut self, now: Micros) -> Vec<JobId> {
         self.saturation = None;
-        self.down_until = Some(now + self.config.recovery);
+        self.down_until = Some(now + self.config.restart_delay);
         self.collapses += 1;
         self.accepted.clear();
         let lost = self.machine.stop();
--- a/crates/cluster-model/src/server.rs
+++ b/crates/cluster-model/src/server.rs
@@ -45,7 +45,7 @@
     /// Work of a hit, in microseconds of the reference core.
     pub work: f64,
     /// Whether the sender knew, or should have known, the time of the latest start of this server.
-    pub informed: bool,
+    pub sender_knows_start: bool,
 }
 
 /// How a cache server answers an attempt.
@@ -199,7 +199,7 @@
         let arrival = OfferedWork {
             at: now,
             work: lookup.work,
-            informed: lookup.informed,
+            sender_knows_start: lookup.sender_knows_start,
         };
         self.offered.add(arrival, budget.window);
         let capacity = self.machine.capacity(now);
--- a/crates/cluster-model/src/slow_start_budget.rs
+++ b/crates/cluster-model/src/slow_start_budget.rs
@@ -78,7 +78,7 @@
     pub(crate) at: Micros,
     pub(crate) work: f64,
     /// Whether the sender knew of the server's start.
-    pub(crate) informed: bool,
+    pub(crate) sender_knows_start: bool,
 }
 
 /// The work that was offered to a server within the window.
@@ -126,7 +126,10 @@
 
     /// Fraction of the work that came from senders who knew of the server's start.
     fn informed_share(&self) -> f64 {
-        let informed = self.arrivals.iter().filter(|arrival| arrival.informed);
+        let informed = self
+            .arrivals
+            .iter()
+            .filter(|arrival| arrival.sender_knows_start);
         let informed: f64 = informed.map(|arrival| arrival.work).sum();
         informed / self.work
     }
--- a/crates/cluster-model/tests/endpoint_list.rs
+++ b/crates/cluster-model/tests/endpoint_list.rs
@@ -8,8 +8,8 @@
 
 use cluster_model::Micros;
 use cluster_model::endpoint_list::{
-    Condition, EndpointList, EndpointListConfig, EndpointRecord, ListCall, ListResponse,
-    NodeResponse,
+    EndpointList, EndpointListConfig, EndpointRecord, ListCall, ListResponse, NodeResponse,
+    ServerState,
 };
 
 const MILLISECOND: Micros = 1_000;
@@ -57,7 +57,7 @@
 fn draining(server: u32) -> EndpointRecord {
     EndpointRecord {
         server,
-        condition: Condition::Draining,
+        condition: ServerState::Draining,
         started: 0,
     }
 }
@@ -84,7 +84,7 @@
     assert_eq!(summary(&notifications[0].response), changes(2, 1));
     list.disconnect(9);
     let removed = EndpointRecord {
-        condition: Condition::Removed,
+        condition: ServerState::Removed,
         ..draining(3)
     };
     assert!(list.publish(2 * SECOND, removed).is_empty());
--- a/crates/cluster-model/tests/invariants.rs
+++ b/crates/cluster-model/tests/invariants.rs
@@ -144,7 +144,7 @@
         assert_eq!(violations(&all).is_empty(), allowed, "at {sent_at}");
     }
     let mut all = Invariants::default();
-    all.sent_after_forgetting(SECOND, REQUEST);
+    all.sent_untracked_request(SECOND, REQUEST);
     assert_eq!(violations(&all), [ViolationKind::SentAfterEnd(REQUEST)]);
 }
 
@@ -152,10 +152,10 @@
 fn an_attempt_tells_its_server_at_most_the_remaining_time_and_a_slack() {
     let mut all = Invariants::default();
     all.accepted(REQUEST, SECOND, Idempotency::Idempotent);
-    all.told_deadline(0, REQUEST, SECOND);
-    all.told_deadline(400_000, REQUEST, 750_000);
+    all.attempt_stated_deadline(0, REQUEST, SECOND);
+    all.attempt_stated_deadline(400_000, REQUEST, 750_000);
     assert_eq!(violations(&all), []);
-    all.told_deadline(400_000, REQUEST, 750_001);
+    all.attempt_stated_deadline(400_000, REQUEST, 750_001);
     let request = REQUEST;
     let excess = 150_001;
     assert_eq!(
@@ -187,9 +187,9 @@
     all.answered(20, REQUEST, false);
     all.sent(30, REQUEST, 1, 2);
     assert_eq!(violations(&all), [ViolationKind::SentAfterEnd(REQUEST)]);
-    // An attempt in flight is tolerated for `sent_grace`, and still counts as one that may have run.
+    // An attempt in flight is tolerated for `in_flight_grace`, and still counts as one that may have run.
     let mut all = Invariants::new(InvariantLimits {
-        sent_grace: 50,
+        in_flight_grace: 50,
         ..InvariantLimits::default()
     });
     all.accepted(REQUEST, SECOND, Idempotency::NotIdempotent);
@@ -251,8 +251,8 @@
 fn the_drain_grace_counts_from_the_notice_or_from_six_seconds_after_discovery_knew_of_the_drain() {
     let other = request(4, 1);
     let mut all = invariants();
-    all.readiness_known(SECOND, 8, false);
-    all.notified(2 * SECOND, 3, 8, false);
+    all.discovery_learned_readiness(SECOND, 8, false);
+    all.node_notified(2 * SECOND, 3, 8, false);
     all.sent(2 * SECOND + 550_000, REQUEST, 0, 8);
     all.sent(7 * SECOND + 550_000, other, 0, 8);
     assert_eq!(violations(&all), []);
@@ -264,8 +264,8 @@
         after,
     };
     assert_eq!(violations(&all), [drained(3, 550_001), drained(4, 600_000)]);
-    all.readiness_known(8 * SECOND, 8, true);
-    all.notified(8 * SECOND, 3, 8, true);
+    all.discovery_learned_readiness(8 * SECOND, 8, true);
+    all.node_notified(8 * SECOND, 3, 8, true);
     all.sent(9 * SECOND, REQUEST, 2, 8);
     all.sent(20 * SECOND, other, 2, 8);
     assert_eq!(all.violations().len(), 2, "the server is ready again");
@@ -275,10 +275,10 @@
 fn a_change_counts_as_notified_six_seconds_after_discovery_knew_of_it_and_was_reachable() {
     let sent_at = |now| {
         let mut all = Invariants::default();
-        all.readiness_known(SECOND, 7, false);
+        all.discovery_learned_readiness(SECOND, 7, false);
         all.discovery_reachable(2 * SECOND, false);
-        all.readiness_known(3 * SECOND, 8, false);
-        all.readiness_known(3 * SECOND, 9, true);
+        all.discovery_learned_readiness(3 * SECOND, 8, false);
+        all.discovery_learned_readiness(3 * SECOND, 9, true);
         all.discovery_reachable(10 * SECOND, true);
         all.sent(now, REQUEST, 0, 7);
         let drained = all.violations().len();
@@ -304,10 +304,10 @@
         informed_share,
     };
     let mut all = invariants();
-    all.collapsed(8, collapse(0.66));
-    all.collapsed(8, collapse(2.0 / 3.0));
+    all.server_collapsed(8, collapse(0.66));
+    all.server_collapsed(8, collapse(2.0 / 3.0));
     assert_eq!(violations(&all), []);
-    all.collapsed(8, collapse(0.67));
+    all.server_collapsed(8, collapse(0.67));
     let overloaded = ViolationKind::Overloaded {
         server: 8,
         collapse: collapse(0.67),
--- a/crates/cluster-model/tests/origin.rs
+++ b/crates/cluster-model/tests/origin.rs
@@ -35,9 +35,9 @@
     let mut random = random_stream(1, 1);
     let mut submit = |origin: &mut Origin, job| origin.submit(0, job, 10_000.0, &mut random);
     let all_fail = |fault| Some(FaultInjection { fault, share: 1.0 });
-    origin.set_fault(all_fail(Fault::Late));
+    origin.set_fault(all_fail(Fault::FailAfterProcessing));
     assert_eq!(submit(&mut origin, 1), Admission::Accepted);
-    origin.set_fault(all_fail(Fault::Early));
+    origin.set_fault(all_fail(Fault::RejectOnArrival));
     assert_eq!(submit(&mut origin, 2), UNPROCESSED);
     origin.set_fault(None);
     assert_eq!(submit(&mut origin, 3), Admission::Accepted);
@@ -66,8 +66,8 @@
     let config = OriginConfig {
         machine,
         collapse_after: SECOND,
-        relief: 200 * MILLISECOND,
-        recovery: 2 * SECOND,
+        saturation_end_delay: 200 * MILLISECOND,
+        restart_delay: 2 * SECOND,
     };
     let mut origin = Origin::new(config, 0);
     let mut random = random_stream(1, 1);
--- a/crates/cluster-model/tests/server.rs
+++ b/crates/cluster-model/tests/server.rs
@@ -13,11 +13,11 @@
 
 const SECOND: Micros = 1_000_000;
 
-fn lookup(key: u64, informed: bool) -> Lookup {
+fn lookup(key: u64, sender_knows_start: bool) -> Lookup {
     Lookup {
         key,
         work: 10_000.0,
-        informed,
+        sender_knows_start,
     }
 }
 
@@ -63,12 +63,12 @@
 }
 
 /// Sends attempts of 10 ms of work at a constant rate to a server with one core that is warm after 20 s, until the
-/// server collapses or 25 s have passed. `informed` returns whether the sender of an attempt knows of the server's
-/// start.
+/// server collapses or 25 s have passed. `sender_knows_start` returns whether the sender of an attempt knows of the
+/// server's start.
 fn load_cold_server(
     per_second: u64,
     mean_work: f64,
-    informed: impl Fn(u64) -> bool,
+    sender_knows_start: impl Fn(u64) -> bool,
 ) -> CacheServer {
     let machine = MachineConfig {
         cores: 1.0,
@@ -92,7 +92,7 @@
     for job in 0..25 * per_second {
         let now = SECOND + job * SECOND / per_second;
         server.take_completed(now);
-        let admission = server.submit(now, job, lookup(job, informed(job)));
+        let admission = server.submit(now, job, lookup(job, sender_knows_start(job)));
         if matches!(admission, Admission::Collapsed(_)) {
             break;
         }
--- a/crates/fault-injector/src/injector.rs
+++ b/crates/fault-injector/src/injector.rs
@@ -124,7 +124,7 @@
     /// Counts a call that a fault applies to, and draws whether the fault affects the call.
     fn draw_decision(&self, index: usize) -> Option<Decision> {
         let fault = &self.faults[index];
-        let call_number = self.state.increment(layout::calls(index));
+        let call_number = self.state.increment(layout::eligible_calls(index));
         let draw = mix(mix(self.seed ^ mix(index as u64)) ^ call_number);
         if unit_interval(draw) >= fault.fault.rate {
             return None;
--- a/crates/fault-plan/src/state_file.rs
+++ b/crates/fault-plan/src/state_file.rs
@@ -22,7 +22,7 @@
     }
 
     /// The slot that counts the calls that a fault could have affected while it was on.
-    pub const fn calls(fault: usize) -> usize {
+    pub const fn eligible_calls(fault: usize) -> usize {
         switch(fault) + 1
     }
 
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     /// If the file cannot be written.
-    pub fn switch(&self, fault: usize, on: bool) -> Result<(), StateFileError> {
+    pub fn set_enabled(&self, fault: usize, on: bool) -> Result<(), StateFileError> {
         self.write(layout::switch(fault), u64::from(on))
     }
 
@@ -107,7 +107,7 @@
     /// If the file cannot be read.
     pub fn counts(&self, fault: usize) -> Result<FaultCounts, StateFileError> {
         Ok(FaultCounts {
-            calls: self.read(layout::calls(fault))?,
+            calls: self.read(layout::eligible_calls(fault))?,
             injected: self.read(layout::injected(fault))?,
         })
     }
--- a/crates/router-config/src/layers.rs
+++ b/crates/router-config/src/layers.rs
@@ -68,7 +68,7 @@
     }
 
     /// Adds a flag: a dotted key, and its value in TOML syntax or as a string without quotes.
-    pub fn flag(mut self, key: &str, value: &str) -> Layers {
+    pub fn override_key(mut self, key: &str, value: &str) -> Layers {
         self.flags.push(Flag {
             key: key.into(),
             value: value.into(),
@@ -126,7 +126,7 @@
     let layers = set
         .iter()
         .fold(Layers::default().file(path), |layers, (key, value)| {
-            layers.flag(key, value)
+            layers.override_key(key, value)
         });
     let loaded = layers.load(bases)?;
     loaded.extract(Figment::new(), |found| {
--- a/crates/router-config/src/lib.rs
+++ b/crates/router-config/src/lib.rs
@@ -18,4 +18,4 @@
 pub use layers::{Layers, read_toml};
 pub use schema::{Config, Format, Level, Log, Node, Repeat};
 pub use toml_position::Position;
-pub use units::Span;
+pub use units::HumanDuration;
--- a/crates/router-config/src/logging/mod.rs
+++ b/crates/router-config/src/logging/mod.rs
@@ -23,7 +23,7 @@
 /// Logging is already initialized in this process.
 #[derive(Debug, thiserror::Error)]
 #[error("logging is already initialized in this process")]
-pub struct AlreadySet;
+pub struct AlreadyInitialized;
 
 /// Finishes logging when it is dropped at the end of the program: reports the suppressed lines that were not yet
 /// reported, and waits a limited time for queued lines to be written.
@@ -47,12 +47,12 @@
 ///
 /// # Errors
 /// If logging is already initialized.
-pub fn init(log: &Log) -> Result<LogGuard, AlreadySet> {
+pub fn init(log: &Log) -> Result<LogGuard, AlreadyInitialized> {
     let queue = standard_error();
     queue.set_format(log.format);
     let (subscriber, mut guard) = subscriber(log, queue.clone());
     guard.queue = Some(queue.clone());
-    set_global_default(subscriber).map_err(|_| AlreadySet)?;
+    set_global_default(subscriber).map_err(|_| AlreadyInitialized)?;
     log.deprecated_variables.log_warning();
     Ok(guard)
 }
--- a/crates/router-config/src/schema.rs
+++ b/crates/router-config/src/schema.rs
@@ -6,7 +6,7 @@
 
 use crate::environment::DeprecatedVariables;
 use crate::error::InvalidValue;
-use crate::units::Span;
+use crate::units::HumanDuration;
 
 /// All options that an operator can set.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
@@ -73,14 +73,14 @@
     /// Maximum number of lines in an interval.
     pub lines: u32,
     /// Length of an interval.
-    pub per: Span,
+    pub per: HumanDuration,
 }
 
 impl Default for Repeat {
     fn default() -> Self {
         Repeat {
             lines: 50,
-            per: Span(Duration::from_secs(10)),
+            per: HumanDuration(Duration::from_secs(10)),
         }
     }
 }
@@ -111,8 +111,8 @@
             });
         }
         if per.0 < MIN_REPEAT_INTERVAL || per.0 > MAX_REPEAT_INTERVAL {
-            let shortest = Span(MIN_REPEAT_INTERVAL);
-            let longest = Span(MAX_REPEAT_INTERVAL);
+            let shortest = HumanDuration(MIN_REPEAT_INTERVAL);
+            let longest = HumanDuration(MAX_REPEAT_INTERVAL);
             return Some(InvalidValue {
                 key: "log.repeat.per".into(),
                 message: format!("found {per}: write {shortest} to {longest}"),
--- a/crates/router-config/src/units.rs
+++ b/crates/router-config/src/units.rs
@@ -8,36 +8,36 @@
 
 /// A duration that is written with its unit, such as `10s`, `250ms` or `1m 30s`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Span(pub Duration);
+pub struct HumanDuration(pub Duration);
 
 /// The expected form of a duration, for error messages.
 const EXPECTED_FORM: &str = "a time with its unit, such as \"10s\" or \"250ms\"";
 
-impl Display for Span {
+impl Display for HumanDuration {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         humantime::format_duration(self.0).fmt(f)
     }
 }
 
-impl Serialize for Span {
+impl Serialize for HumanDuration {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.collect_str(self)
     }
 }
 
-impl<'de> Deserialize<'de> for Span {
-    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Span, D::Error> {
+impl<'de> Deserialize<'de> for HumanDuration {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<HumanDuration, D::Error> {
         struct DurationVisitor;
         impl Visitor<'_> for DurationVisitor {
-            type Value = Span;
+            type Value = HumanDuration;
 
             fn expecting(&self, f: &mut Formatter<'_>) -> fmt::Result {
                 f.write_str(EXPECTED_FORM)
             }
 
-            fn visit_str<E: de::Error>(self, text: &str) -> Result<Span, E> {
+            fn visit_str<E: de::Error>(self, text: &str) -> Result<HumanDuration, E> {
                 let parsed = humantime::parse_duration(text);
-                parsed.map(Span).map_err(|error| {
+                parsed.map(HumanDuration).map_err(|error| {
                     E::custom(format!("found {text:?} ({error}): write {EXPECTED_FORM}"))
                 })
             }
--- a/crates/router-config/tests/config.rs
+++ b/crates/router-config/tests/config.rs
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use router_config::{Config, Format, Layers, Level, Span};
+use router_config::{Config, Format, HumanDuration, Layers, Level};
 use tempfile::TempDir;
 
 fn file(text: &str) -> (TempDir, PathBuf) {
@@ -46,8 +46,8 @@
             variable("CACHE_ROUTER_LOG__REPEAT__PER", "1m"),
             variable("ROUTER_NAME", "n3"),
         ])
-        .flag("log.repeat.per", "2s")
-        .flag("node.trace", "true");
+        .override_key("log.repeat.per", "2s")
+        .override_key("node.trace", "true");
     let config = layers.read().unwrap();
     assert_eq!(
         (config.log.level, config.log.format),
@@ -55,7 +55,7 @@
     );
     assert_eq!(
         (config.log.repeat.lines, config.log.repeat.per),
-        (7, Span(Duration::from_secs(2)))
+        (7, HumanDuration(Duration::from_secs(2)))
     );
     assert!(config.node.trace);
     assert_eq!(Layers::default().read().unwrap(), Config::default());
@@ -140,7 +140,7 @@
         "{error}"
     );
     let error = Layers::default()
-        .flag("log.repeat.per", "5")
+        .override_key("log.repeat.per", "5")
         .read()
         .unwrap_err()
         .to_string();
--- a/crates/router-config/tests/logging.rs
+++ b/crates/router-config/tests/logging.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use router_config::{Format, Level, Log, Repeat, Span, logging};
+use router_config::{Format, HumanDuration, Level, Log, Repeat, logging};
 use tracing_subscriber::fmt::MakeWriter;
 
 #[derive(Clone, Default)]
@@ -54,7 +54,7 @@
         format,
         repeat: Repeat {
             lines,
-            per: Span(Duration::from_secs(3600)),
+            per: HumanDuration(Duration::from_secs(3600)),
         },
         ..Log::default()
     }
--- a/crates/router-config/tests/repeat_limiter.rs
+++ b/crates/router-config/tests/repeat_limiter.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use router_config::logging::{CodeLocation, RepeatLimiter};
-use router_config::{Log, Repeat, Span};
+use router_config::{HumanDuration, Log, Repeat};
 
 struct ChannelWriter(Sender<String>);
 
@@ -34,7 +34,7 @@
     let writer = move || ChannelWriter(sender.lock().unwrap().clone());
     let repeat = Repeat {
         lines: 2,
-        per: Span(Duration::from_secs(10)),
+        per: HumanDuration(Duration::from_secs(10)),
     };
     let log = Log {
         repeat,
--- a/crates/routerctl/src/commands/check.rs
+++ b/crates/routerctl/src/commands/check.rs
@@ -25,10 +25,9 @@
 
 pub fn run(arguments: &Arguments) -> CommandResult {
     let file_layers = Layers::from_env().file(&arguments.file);
-    let layers = arguments
-        .set
-        .iter()
-        .fold(file_layers, |layers, set| layers.flag(&set.key, &set.value));
+    let layers = arguments.set.iter().fold(file_layers, |layers, set| {
+        layers.override_key(&set.key, &set.value)
+    });
     match layers.read() {
         Ok(config) => {
             print_valid(arguments, &config)?;
--- a/crates/routerctl/src/commands/demo.rs
+++ b/crates/routerctl/src/commands/demo.rs
@@ -42,6 +42,6 @@
     print_line(format_args!(
         "{} cache-router nodes on loopback in front of {servers} emulated cache servers, an origin and a discovery \
          service; {} client requests per second for {}.",
-        scenario.nodes, scenario.load.per_s, scenario.length
+        scenario.nodes, scenario.load.per_s, scenario.duration
     ))
 }
--- a/crates/routerctl/src/commands/testbed/experiment.rs
+++ b/crates/routerctl/src/commands/testbed/experiment.rs
@@ -61,7 +61,7 @@
     let (completed, all) = (step.done, step.total);
     print_line(format_args!(
         "{completed:>4} of {all}  {scenario}, seed {seed}, {variant}: service {:.4}",
-        step.service
+        step.service_level
     ))
 }
 
--- a/crates/routerctl/src/commands/testbed/faults.rs
+++ b/crates/routerctl/src/commands/testbed/faults.rs
@@ -150,8 +150,8 @@
         case,
         runs,
         not_started,
-        service,
-        baseline_service,
+        service_level,
+        baseline_service_level,
         p99_ratio,
         violation_count,
         injected,
@@ -160,7 +160,7 @@
     let rate = case.rate.map_or("-".to_string(), |rate| rate.to_string());
     let missed: Vec<String> = missed.iter().map(MissedGoal::to_string).collect();
     print_line(format_args!(
-        "{:<10} {:<13} {rate:>6} {runs:>5} {service:>8.4} {baseline_service:>8.4} {p99_ratio:>9.2} \
+        "{:<10} {:<13} {rate:>6} {runs:>5} {service_level:>8.4} {baseline_service_level:>8.4} {p99_ratio:>9.2} \
          {violation_count:>9} {not_started:>11} {injected:>9}  {}",
         case.scenario,
         case.kind,
--- a/crates/routerctl/src/commands/testbed/load.rs
+++ b/crates/routerctl/src/commands/testbed/load.rs
@@ -156,10 +156,10 @@
             targets.push(Target::new("alone", stub_server.address()));
         }
         if let Some(node_under_test) = &self.node_under_test {
-            targets.push(Target::new("direct", node_under_test.server()));
+            targets.push(Target::new("direct", node_under_test.server_address()));
             targets.push(Target {
                 is_own_node: true,
-                ..Target::new("node", node_under_test.node())
+                ..Target::new("node", node_under_test.node_address())
             });
         }
         targets
@@ -169,7 +169,7 @@
     fn cpu_time(&self, target: &Target) -> Option<Duration> {
         let node_under_test = self.node_under_test.as_ref()?;
         if target.is_own_node {
-            node_under_test.cpu()
+            node_under_test.cpu_time()
         } else {
             None
         }
@@ -216,7 +216,7 @@
                 .zip(cpu_before)
                 .map(|(after, before)| after.saturating_sub(before));
             print_row(target, per_s, &outcome, cpu_used)?;
-            all_sustained &= baseline::sustained(&outcome);
+            all_sustained &= baseline::is_sustained(&outcome);
         }
     }
     Ok(Outcome::passed_if(all_sustained))
--- a/crates/routerctl/src/commands/testbed/sizes.rs
+++ b/crates/routerctl/src/commands/testbed/sizes.rs
@@ -4,7 +4,7 @@
 
 use clap::Args;
 use testbed::Scenario;
-use testbed::fleet_sizes::{Comparison, FleetUsage, NodeUsageSampler, with_servers};
+use testbed::fleet_sizes::{Comparison, FleetUsage, NodeUsageSampler, with_server_count};
 use testbed::sockets::MAX_CACHE_SERVERS;
 
 use crate::assignment::{Assignment, parse_assignment};
@@ -42,7 +42,7 @@
         .iter()
         .map(|set| (set.key.clone(), set.value.clone()))
         .collect();
-    let scenario = Scenario::read_with(&arguments.file, &set)?;
+    let scenario = Scenario::read_with_overrides(&arguments.file, &set)?;
     let seed = arguments.seed.unwrap_or(scenario.seed);
     let [reference, larger @ ..] = &arguments.servers[..] else {
         return Err(CommandError::TooFewSizes);
@@ -51,7 +51,7 @@
         return Err(CommandError::TooFewSizes);
     }
     let measure_size = |servers| {
-        let resized = with_servers(&scenario, servers);
+        let resized = with_server_count(&scenario, servers);
         measure(&resized, seed, &arguments.socket_options)
     };
     let reference = measure_size(*reference)?;
@@ -99,7 +99,7 @@
         descriptors: node_usage.descriptors,
         server_connections: per_node(server_connections),
         list_bytes: per_node(list_bytes),
-        service: report.service,
+        service_level: report.service_level,
     };
     Ok(Measured {
         usage,
--- a/crates/routerctl/src/outcome.rs
+++ b/crates/routerctl/src/outcome.rs
@@ -8,7 +8,7 @@
 use acceptance::sources::SourceError;
 use router_config::ConfigError;
 use tempfile::TempDir;
-use testbed::atomic_file::{WriteError, advice};
+use testbed::atomic_file::{WriteError, remedy};
 use testbed::experiment::ExperimentError;
 use testbed::fault_matrix::MatrixError;
 use testbed::program::ProgramError;
@@ -92,7 +92,7 @@
         source: std::io::Error,
     },
     /// A folder cannot be created.
-    #[error("cannot create {}: {source}: {}", path.display(), advice(source))]
+    #[error("cannot create {}: {source}: {}", path.display(), remedy(source))]
     CreateFolder {
         /// Path of the folder.
         path: PathBuf,
--- a/crates/routerctl/src/progress.rs
+++ b/crates/routerctl/src/progress.rs
@@ -28,7 +28,7 @@
 impl ProgressDisplay {
     /// Creates a display for a run of a scenario.
     pub fn new(scenario: &Scenario) -> ProgressDisplay {
-        let bar = ProgressBar::new(scenario.length.0.as_millis() as u64);
+        let bar = ProgressBar::new(scenario.duration.0.as_millis() as u64);
         let style = ProgressStyle::with_template(BAR_TEMPLATE)
             .unwrap_or_else(|_| ProgressStyle::default_bar());
         ProgressDisplay {
@@ -48,7 +48,7 @@
             self.print(&format!("{seconds:>5.1} s  {message}"));
         }
         let (nodes, servers) = (progress.nodes_up, progress.servers_up);
-        let served_percent = 100.0 * progress.recent.service();
+        let served_percent = 100.0 * progress.recent.service_level();
         let status = format!(
             "{served_percent:.1}% served in time, {nodes} nodes and {servers} cache servers up"
         );
--- a/crates/routerctl/src/socket_run.rs
+++ b/crates/routerctl/src/socket_run.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 use clap::Args;
-use testbed::sockets::{self, Options, Progress};
+use testbed::sockets::{self, Progress, RunOptions};
 use testbed::{Report, Scenario, program};
 
 use crate::outcome::{CommandError, temporary_folder};
@@ -50,7 +50,7 @@
         path: folder.into(),
         source,
     })?;
-    let run_options = Options {
+    let run_options = RunOptions {
         program: &program,
         folder,
     };
--- a/crates/testbed/src/atomic_file.rs
+++ b/crates/testbed/src/atomic_file.rs
@@ -54,9 +54,9 @@
     }
 }
 
-/// Why a file was not written: the file, the step that failed, the cause and advice to the user.
+/// Why a file was not written: the file, the step that failed, the cause and a remedy.
 #[derive(Debug, thiserror::Error)]
-#[error("{}: {step}: {source}: {}", path.display(), advice(source))]
+#[error("{}: {step}: {source}: {}", path.display(), remedy(source))]
 pub struct WriteError {
     /// The file.
     pub path: PathBuf,
@@ -72,8 +72,8 @@
     }
 }
 
-/// Advice to the user on a file error.
-pub fn advice(error: &Error) -> &'static str {
+/// What the user can do about a file error.
+pub fn remedy(error: &Error) -> &'static str {
     match error.kind() {
         ErrorKind::StorageFull | ErrorKind::QuotaExceeded => {
             "free disk space there, then run the same command again"
@@ -187,7 +187,7 @@
                 .map_err(self.error_in(WriteStep::Rename))
         });
         if let Err(error) = renamed {
-            // If this fails too, `remove_leftovers` removes the file later.
+            // If this fails too, `remove_stale_temporary_files` removes the file later.
             drop(self.operations.remove(&temporary));
             return Err(error);
         }
@@ -273,7 +273,7 @@
 ///
 /// # Errors
 /// If the folder can't be read or a file can't be removed.
-pub fn remove_leftovers(folder: &Path) -> IoResult<usize> {
+pub fn remove_stale_temporary_files(folder: &Path) -> IoResult<usize> {
     let mut removed = 0;
     for entry in std::fs::read_dir(folder)? {
         let entry = entry?;
--- a/crates/testbed/src/baseline/mod.rs
+++ b/crates/testbed/src/baseline/mod.rs
@@ -17,7 +17,7 @@
 use crate::load::StubServer;
 use crate::sockets::SocketError;
 use node_keeper::{NodeProcess, NodeSupervisor};
-pub use rate_search::{max_sustained_rate, sustained};
+pub use rate_search::{is_sustained, max_sustained_rate};
 
 /// Number of cache servers behind the node.
 const SERVERS: u32 = 4;
@@ -73,12 +73,12 @@
     }
 
     /// Address of the node.
-    pub fn node(&self) -> SocketAddr {
+    pub fn node_address(&self) -> SocketAddr {
         self.process.address
     }
 
     /// Address of the first server.
-    pub fn server(&self) -> SocketAddr {
+    pub fn server_address(&self) -> SocketAddr {
         self.servers[0].address()
     }
 
@@ -88,7 +88,7 @@
     }
 
     /// CPU time that the node has used, if the system provides it.
-    pub fn cpu(&self) -> Option<Duration> {
+    pub fn cpu_time(&self) -> Option<Duration> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.process.pid)).ok()?;
         // The process name may contain any character, but the last closing parenthesis ends it.
         let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
--- a/crates/testbed/src/baseline/rate_search.rs
+++ b/crates/testbed/src/baseline/rate_search.rs
@@ -17,7 +17,7 @@
 const SEARCH_PRECISION: f64 = 1.04;
 
 /// Returns whether a rate was sustained.
-pub fn sustained(outcome: &Outcome) -> bool {
+pub fn is_sustained(outcome: &Outcome) -> bool {
     outcome.served as f64 >= outcome.intended as f64 * MIN_SERVED_SHARE
         && outcome.latency.value_at_quantile(0.99) <= MAX_P99.as_nanos() as u64
 }
@@ -40,7 +40,7 @@
         };
         let outcome = send(to, &load)?;
         on_result(per_s, &outcome);
-        Ok::<_, std::io::Error>(sustained(&outcome))
+        Ok::<_, std::io::Error>(is_sustained(&outcome))
     };
     let mut low = load.per_s;
     let mut high = load.per_s * 2.0;
--- a/crates/testbed/src/baseline/scenario.rs
+++ b/crates/testbed/src/baseline/scenario.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use router_config::Span;
+use router_config::HumanDuration;
 
 use super::SERVERS;
 use crate::scenario::{
@@ -12,11 +12,11 @@
 
 /// A scenario with one node, servers that never limit it, and no faults.
 pub(super) fn scenario(value_bytes: u64) -> Scenario {
-    let ms = |ms| Span(Duration::from_millis(ms));
+    let ms = |ms| HumanDuration(Duration::from_millis(ms));
     Scenario {
         base: None,
         seed: 1,
-        length: ms(1_000),
+        duration: ms(1_000),
         nodes: 1,
         zones: 1,
         load: Workload {
@@ -49,7 +49,7 @@
 }
 
 fn lookup_class() -> RequestClass {
-    let ms = |ms| Span(Duration::from_millis(ms));
+    let ms = |ms| HumanDuration(Duration::from_millis(ms));
     RequestClass {
         name: "lookup".into(),
         share: 1.0,
@@ -73,7 +73,7 @@
         queue_capacity: 1_000,
         memory_bytes: 1,
         cold_share: 1.0,
-        warm_up: Span(Duration::from_millis(1)),
+        warm_up: HumanDuration(Duration::from_millis(1)),
         warm_by_work: 0.0,
     }
 }
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -76,8 +76,8 @@
 /// The results of all clients of a run, in the form of a report.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClientResults {
-    /// The service level, as in [`Counts::service`].
-    pub service: f64,
+    /// The service level, as in [`Counts::service_level`].
+    pub service_level: f64,
     /// Results by name of the class.
     pub classes: BTreeMap<String, ClassReport>,
     /// Counts by [`WINDOW`].
@@ -156,7 +156,7 @@
     pub fn next_arrival(&mut self, now: Micros) -> Option<Micros> {
         let gap: f64 = Exp1.sample(&mut self.arrivals);
         let at = now + (gap / self.rate * 1e6).ceil() as Micros;
-        (at < self.begin + micros(self.scenario.length)).then_some(at)
+        (at < self.begin + micros(self.scenario.duration)).then_some(at)
     }
 
     /// Multiplies the rate of arrivals by a factor.
@@ -259,7 +259,7 @@
     }
 
     /// Handles a reply to a client. Returns the time of the next attempt, or `None` if the request has ended.
-    pub fn notified(&mut self, now: Micros, id: u64, reply: Reply) -> Option<Micros> {
+    pub fn handle_reply(&mut self, now: Micros, id: u64, reply: Reply) -> Option<Micros> {
         let client = self.open.get_mut(&id)?;
         client.assignment = None;
         let class = client.class;
@@ -358,7 +358,7 @@
             classes.insert(spec.name.clone(), report);
         }
         ClientResults {
-            service: total.service(),
+            service_level: total.service_level(),
             classes,
             windows: self.windows.clone(),
         }
--- a/crates/testbed/src/compare.rs
+++ b/crates/testbed/src/compare.rs
@@ -110,16 +110,17 @@
 impl Comparison<'_> {
     fn differences(&self) -> Vec<Difference> {
         let mut differences = Vec::new();
-        differences.extend(self.difference("service".into(), |report| Some(report.service)));
+        differences.extend(self.difference("service".into(), |report| Some(report.service_level)));
         let first = self.pairs.first();
         for class in first.map_or_else(Vec::new, |pair| class_names(pair.baseline)) {
-            let service = |report: &Report| Some(report.classes.get(&class)?.counts.service());
+            let service =
+                |report: &Report| Some(report.classes.get(&class)?.counts.service_level());
             differences.extend(self.difference(format!("class {class}"), service));
         }
         let windows = self.pairs.iter().map(|pair| pair.baseline.windows.len());
         for window in 0..windows.max().unwrap_or(0) {
             let begins_at = window as u64 * WINDOW / 1_000_000;
-            let service = |report: &Report| Some(report.windows.get(window)?.service());
+            let service = |report: &Report| Some(report.windows.get(window)?.service_level());
             differences.extend(self.difference(format!("{begins_at}s"), service));
         }
         differences
--- a/crates/testbed/src/deployment.rs
+++ b/crates/testbed/src/deployment.rs
@@ -23,8 +23,8 @@
 pub const DEDUPLICATION_WINDOW: Micros = 2_000_000;
 /// Largest number of attempts of a request.
 pub const MAX_ATTEMPTS: u32 = 4;
-/// The origin counts as relieved once it has rejected no call for this long, in microseconds.
-const ORIGIN_RELIEF: Micros = 500_000;
+/// A period of saturation of the origin ends once it has rejected no call for this long, in microseconds.
+const ORIGIN_SATURATION_END_DELAY: Micros = 500_000;
 /// Standard deviation of the work of a call to the origin, divided by its mean.
 pub const ORIGIN_WORK_DEVIATION: f64 = 0.3;
 /// After SIGTERM the platform waits for the longest deadline before it kills a node, but for at most this time, in
@@ -142,8 +142,8 @@
             ..MachineConfig::default()
         },
         collapse_after: micros(origin.collapse_after),
-        relief: ORIGIN_RELIEF,
-        recovery: micros(origin.recovery),
+        saturation_end_delay: ORIGIN_SATURATION_END_DELAY,
+        restart_delay: micros(origin.recovery),
     };
     Origin::new(config, now)
 }
@@ -151,8 +151,8 @@
 /// The model's fault that makes a fraction of the calls to the origin fail.
 pub fn fault(failure: OriginFailure, share: f64) -> FaultInjection {
     let fault = match failure {
-        OriginFailure::Late => Fault::Late,
-        OriginFailure::Early => Fault::Early,
+        OriginFailure::Late => Fault::FailAfterProcessing,
+        OriginFailure::Early => Fault::RejectOnArrival,
     };
     FaultInjection { fault, share }
 }
@@ -177,12 +177,12 @@
     })
 }
 
-/// The invariants. An attempt that was in flight when its request ended may still arrive up to `sent_grace`
+/// The invariants. An attempt that was in flight when its request ended may still arrive up to `in_flight_grace`
 /// microseconds later.
-pub fn invariants(scenario: &Scenario, sent_grace: Micros) -> Invariants {
+pub fn invariants(scenario: &Scenario, in_flight_grace: Micros) -> Invariants {
     Invariants::new(InvariantLimits {
         drain_grace: micros(scenario.invariants.drain_grace),
-        sent_grace,
+        in_flight_grace,
         ..InvariantLimits::default()
     })
 }
--- a/crates/testbed/src/experiment/error.rs
+++ b/crates/testbed/src/experiment/error.rs
@@ -4,7 +4,7 @@
 
 use router_config::ConfigError;
 
-use crate::atomic_file::{WriteError, advice};
+use crate::atomic_file::{WriteError, remedy};
 use crate::program::ProgramError;
 use crate::sockets::SocketError;
 
@@ -52,7 +52,7 @@
         source: WriteError,
     },
     /// A file or folder of the results can't be read or created.
-    #[error("{}: {source}: {}", path.display(), advice(source))]
+    #[error("{}: {source}: {}", path.display(), remedy(source))]
     File {
         /// The file.
         path: PathBuf,
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -133,7 +133,7 @@
         let set: Vec<_> = set
             .map(|(key, value)| (key.clone(), value.to_string()))
             .collect();
-        Scenario::read_with(path, &set).map_err(|source| ExperimentError::Variant {
+        Scenario::read_with_overrides(path, &set).map_err(|source| ExperimentError::Variant {
             variant: self.name.clone(),
             source,
         })
--- a/crates/testbed/src/experiment/runner.rs
+++ b/crates/testbed/src/experiment/runner.rs
@@ -9,12 +9,12 @@
 
 use super::results::{StoredReport, read_report, write_or_check_plan};
 use super::{Driver, Experiment, ExperimentError, Run, Variant, commit_build, scenario_name};
-use crate::atomic_file::{create_folder, remove_leftovers};
+use crate::atomic_file::{create_folder, remove_stale_temporary_files};
 use crate::program::{self, ProgramError};
 use crate::report::Report;
 use crate::scenario::Scenario;
-use crate::sockets::shared::lock;
-use crate::sockets::{self, Options, SocketError};
+use crate::sockets::shared::lock_ignoring_poison;
+use crate::sockets::{self, RunOptions, SocketError};
 use crate::virtual_time;
 
 /// Interval at which a run on sockets checks whether it should stop.
@@ -26,7 +26,7 @@
     /// The run.
     pub run: Run,
     /// Its service level.
-    pub service: f64,
+    pub service_level: f64,
     /// Number of completed runs.
     pub done: usize,
     /// Number of all runs.
@@ -47,7 +47,7 @@
     report_progress: impl FnMut(&CompletedRun),
 ) -> Result<(), ExperimentError> {
     create_folder(folder).map_err(ExperimentError::file(folder))?;
-    remove_leftovers(folder).map_err(ExperimentError::file(folder))?;
+    remove_stale_temporary_files(folder).map_err(ExperimentError::file(folder))?;
     write_or_check_plan(experiment, folder)?;
     let runs = experiment.runs();
     let total = runs.len();
@@ -111,7 +111,7 @@
         self.done += 1;
         (self.report_progress)(&CompletedRun {
             run,
-            service: report.service,
+            service_level: report.service_level,
             done: self.done,
             total: self.total,
         });
@@ -185,7 +185,7 @@
     reports: &mpsc::SyncSender<Completed>,
 ) {
     while !stop.load(Ordering::Relaxed) {
-        let Some(run) = lock(queue).pop_front() else {
+        let Some(run) = lock_ignoring_poison(queue).pop_front() else {
             return;
         };
         let completed = read_scenario(experiment, &run).map(|scenario| {
@@ -241,7 +241,7 @@
         .enable_all()
         .build()
         .map_err(system_error)?;
-    let options = Options {
+    let options = RunOptions {
         program,
         folder: folder.path(),
     };
--- a/crates/testbed/src/fault_matrix/kind.rs
+++ b/crates/testbed/src/fault_matrix/kind.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 use fault_plan::{DescriptorKind, ErrorName, SystemCall};
-use router_config::Span;
+use router_config::HumanDuration;
 
 use crate::scenario::{ClockOwner, FaultEvent};
 
 /// Longer than any scenario of the matrix, so that faults stay active until all requests have been answered.
-const FAULT_DURATION: Span = Span(Duration::from_secs(3_600));
+const FAULT_DURATION: HumanDuration = HumanDuration(Duration::from_secs(3_600));
 /// Offset of stepped clocks, in seconds.
 const CLOCK_OFFSET_S: f64 = 3_600.0;
 /// Fraction of the nodes that a clock step affects, where it does not affect all of them.
@@ -100,9 +100,9 @@
         )
     }
 
-    /// The events that inject this fault at `rate` into a scenario of the given length, from before the nodes start
+    /// The events that inject this fault at `rate` into a scenario of the given duration, from before the nodes start
     /// until the end.
-    pub fn events(self, rate: f64, length: Span) -> Vec<FaultEvent> {
+    pub fn events(self, rate: f64, duration: HumanDuration) -> Vec<FaultEvent> {
         match self {
             FaultKind::ShortCounts => vec![short_counts(DescriptorKind::Tcp, rate)],
             FaultKind::Interrupted => vec![interrupted_calls(rate)],
@@ -116,11 +116,11 @@
                 let kinds_with_rate = FaultKind::ALL.into_iter().filter(|kind| kind.has_rate());
                 let combined = kinds_with_rate.filter(|kind| *kind != FaultKind::Combined);
                 combined
-                    .flat_map(|kind| kind.events(rate, length))
+                    .flat_map(|kind| kind.events(rate, duration))
                     .collect()
             }
             FaultKind::ClockOffset => clock_offset(),
-            FaultKind::ClockSteps => clock_steps(length),
+            FaultKind::ClockSteps => clock_steps(duration),
         }
     }
 }
@@ -152,16 +152,16 @@
 
 /// Makes system calls on descriptors of a kind fail, from the start.
 fn call_errors_on(
-    on: DescriptorKind,
+    descriptor_kind: DescriptorKind,
     calls: &[SystemCall],
     errors: &[ErrorName],
     rate: f64,
 ) -> FaultEvent {
     FaultEvent::SystemCalls {
-        at: Span(Duration::ZERO),
+        at: HumanDuration(Duration::ZERO),
         part: 1.0,
         calls: calls.to_vec(),
-        on,
+        descriptor_kind,
         errors: errors.to_vec(),
         rate,
         lasts: FAULT_DURATION,
@@ -173,12 +173,12 @@
     call_errors_on(DescriptorKind::Tcp, calls, errors, rate)
 }
 
-fn short_counts(on: DescriptorKind, rate: f64) -> FaultEvent {
+fn short_counts(descriptor_kind: DescriptorKind, rate: f64) -> FaultEvent {
     FaultEvent::ShortCounts {
-        at: Span(Duration::ZERO),
+        at: HumanDuration(Duration::ZERO),
         part: 1.0,
         calls: [READ_CALLS, WRITE_CALLS].concat(),
-        on,
+        descriptor_kind,
         rate,
         lasts: FAULT_DURATION,
     }
@@ -245,23 +245,23 @@
 /// Sets the clocks of half of the nodes ahead, and those of half of the nodes behind. The two halves are drawn
 /// independently.
 fn clock_offset() -> Vec<FaultEvent> {
-    let step = |by_s| FaultEvent::StepClock {
-        at: Span(Duration::ZERO),
-        who: ClockOwner::Nodes,
+    let step = |step_s| FaultEvent::StepClock {
+        at: HumanDuration(Duration::ZERO),
+        clocks: ClockOwner::Nodes,
         part: AFFECTED_NODE_FRACTION,
-        by_s,
+        step_s,
     };
     vec![step(CLOCK_OFFSET_S), step(-CLOCK_OFFSET_S / 2.0)]
 }
 
 /// Steps the clocks of half of the nodes, then of the discovery service, then of all, after one, two and three quarters
 /// of the scenario.
-fn clock_steps(length: Span) -> Vec<FaultEvent> {
-    let step = |quarter, who, part, by_s| FaultEvent::StepClock {
-        at: Span(length.0 * quarter / 4),
-        who,
+fn clock_steps(duration: HumanDuration) -> Vec<FaultEvent> {
+    let step = |quarter, clocks, part, step_s| FaultEvent::StepClock {
+        at: HumanDuration(duration.0 * quarter / 4),
+        clocks,
         part,
-        by_s,
+        step_s,
     };
     vec![
         step(1, ClockOwner::Nodes, AFFECTED_NODE_FRACTION, CLOCK_OFFSET_S),
--- a/crates/testbed/src/fault_matrix/mod.rs
+++ b/crates/testbed/src/fault_matrix/mod.rs
@@ -14,8 +14,8 @@
 
 use crate::Scenario;
 use crate::scenario::FaultEvent;
-use crate::sockets::shared::lock;
-use crate::sockets::{self, Options, SocketError};
+use crate::sockets::shared::lock_ignoring_poison;
+use crate::sockets::{self, RunOptions, SocketError};
 
 /// A scenario with its name.
 #[derive(Debug, Clone)]
@@ -86,7 +86,7 @@
             for case in self.cases(named) {
                 let events = case
                     .kind
-                    .events(case.rate.unwrap_or(1.0), named.scenario.length);
+                    .events(case.rate.unwrap_or(1.0), named.scenario.duration);
                 let label = match case.rate {
                     Some(rate) => format!("{}-{}-{rate}", named.name, case.kind),
                     None => format!("{}-{}", named.name, case.kind),
@@ -155,7 +155,7 @@
                         let folder = folder.join(seed.to_string());
                         let outcome = run_once(&scenario, *seed, &folder, &options.program);
                         let failed = outcome.is_err();
-                        lock(&outcomes).push((*seed, outcome));
+                        lock_ignoring_poison(&outcomes).push((*seed, outcome));
                         if failed {
                             // Start no further runs: the matrix can't be completed.
                             next_index.store(seeds.len(), Ordering::Relaxed);
@@ -178,7 +178,7 @@
     program: &Path,
 ) -> Result<RunOutcome, MatrixError> {
     std::fs::create_dir_all(folder)?;
-    let options = Options { program, folder };
+    let options = RunOptions { program, folder };
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
--- a/crates/testbed/src/fault_matrix/outcome.rs
+++ b/crates/testbed/src/fault_matrix/outcome.rs
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct RunSummary {
     /// The service level.
-    pub service: f64,
+    pub service_level: f64,
     /// The 99th percentile of latencies of the class with the most requests, in microseconds.
     pub p99_us: u64,
     /// Number of invariant violations.
@@ -61,7 +61,7 @@
             requests
         });
         RunSummary {
-            service: report.service,
+            service_level: report.service_level,
             p99_us: busiest_class.map_or(0, |class| class.latency.p99_us),
             violation_count: report.violation_count,
             first_violation: report.violations.first().cloned(),
@@ -84,9 +84,9 @@
     /// Number of runs in which a node did not start.
     pub not_started: usize,
     /// Mean service level of the runs in which all nodes started.
-    pub service: f64,
+    pub service_level: f64,
     /// Mean service level of the same seeds without faults.
-    pub baseline_service: f64,
+    pub baseline_service_level: f64,
     /// The ratio of the 99th percentile of latencies to that without faults: the median over the seeds.
     pub p99_ratio: f64,
     /// Number of invariant violations in all runs.
@@ -131,8 +131,8 @@
             case,
             runs: runs.len(),
             not_started: 0,
-            service: 0.0,
-            baseline_service: 0.0,
+            service_level: 0.0,
+            baseline_service_level: 0.0,
             p99_ratio: 0.0,
             violation_count: 0,
             injected: 0,
@@ -152,8 +152,8 @@
             }
         }
         let completed_runs = ratios.len().max(1) as f64;
-        outcome.service /= completed_runs;
-        outcome.baseline_service /= completed_runs;
+        outcome.service_level /= completed_runs;
+        outcome.baseline_service_level /= completed_runs;
         ratios.sort_by(f64::total_cmp);
         outcome.p99_ratio = ratios.get(ratios.len() / 2).copied().unwrap_or(0.0);
         outcome
@@ -161,8 +161,8 @@
 
     /// Adds a completed run. The service levels are sums until all runs are added.
     fn add(&mut self, baseline_run: &RunSummary, run: &RunSummary) {
-        self.service += run.service;
-        self.baseline_service += baseline_run.service;
+        self.service_level += run.service_level;
+        self.baseline_service_level += baseline_run.service_level;
         self.violation_count += run.violation_count;
         self.injected += run.injected;
         if let Some(violation) = &run.first_violation {
@@ -172,7 +172,7 @@
 
     /// The goals that the case misses.
     pub fn missed_goals(&self) -> Vec<MissedGoal> {
-        let service_loss = self.baseline_service - self.service;
+        let service_loss = self.baseline_service_level - self.service_level;
         // A wrong clock should have no effect: clock faults have to meet the goals of the lowest rate.
         let rate = self.case.rate.unwrap_or(0.0);
         let is_service_too_low = rate <= LOW_RATE && service_loss > MAX_LOSS_AT_LOW_RATE
--- a/crates/testbed/src/fleet_sizes/mod.rs
+++ b/crates/testbed/src/fleet_sizes/mod.rs
@@ -7,5 +7,5 @@
 mod table;
 
 pub use node_usage::{NodeUsage, NodeUsageSampler};
-pub use scaling::with_servers;
+pub use scaling::with_server_count;
 pub use table::{Comparison, FleetUsage, Verdict};
--- a/crates/testbed/src/fleet_sizes/scaling.rs
+++ b/crates/testbed/src/fleet_sizes/scaling.rs
@@ -9,7 +9,7 @@
 /// Returns the scenario with `servers` cache servers in total, in the same proportions of the same kinds (at least one
 /// of each). Cores, slots, queue capacity and memory of each server are scaled so that their totals stay about the
 /// same, except where a server's minimum applies.
-pub fn with_servers(scenario: &Scenario, servers: u32) -> Scenario {
+pub fn with_server_count(scenario: &Scenario, servers: u32) -> Scenario {
     let mut resized = scenario.clone();
     let original_total = scenario.server_count();
     let mut remaining = servers;
--- a/crates/testbed/src/fleet_sizes/table.rs
+++ b/crates/testbed/src/fleet_sizes/table.rs
@@ -26,7 +26,7 @@
     /// Bytes of endpoint lists received from discovery.
     pub list_bytes: f64,
     /// Share of requests served in time, weighted by the priority of their classes.
-    pub service: f64,
+    pub service_level: f64,
 }
 
 /// The limit of a resource with a larger fleet: the sum of three terms.
@@ -96,7 +96,7 @@
     }
 
     /// The row for the share served, which must not be below its limit. The signs are inverted for the comparison.
-    fn service(baseline: f64, larger: f64) -> Row {
+    fn service_level(baseline: f64, larger: f64) -> Row {
         let limit = baseline * MIN_SERVICE_RATIO;
         Row {
             limit,
@@ -157,7 +157,7 @@
                 KILOBYTE,
                 allowance(2.0, 64.0 * KILOBYTE, 500.0 * KILOBYTE),
             ),
-            Row::service(baseline.service, larger.service),
+            Row::service_level(baseline.service_level, larger.service_level),
         ];
         Comparison {
             baseline_servers: baseline.servers,
--- a/crates/testbed/src/html_report/page.rs
+++ b/crates/testbed/src/html_report/page.rs
@@ -81,8 +81,11 @@
     let reports = &variant.reports;
     let name = escape(variant.variant);
     let count = reports.len();
-    let service =
-        reports.iter().map(|report| report.service).sum::<f64>() / reports.len().max(1) as f64;
+    let service = reports
+        .iter()
+        .map(|report| report.service_level)
+        .sum::<f64>()
+        / reports.len().max(1) as f64;
     let violations: usize = reports.iter().map(|report| report.violation_count).sum();
     let mark = if violations > 0 { " class=\"off\"" } else { "" };
     let mean = difference.map(mean_text).unwrap_or_default();
--- a/crates/testbed/src/html_report/plot.rs
+++ b/crates/testbed/src/html_report/plot.rs
@@ -49,7 +49,7 @@
     vec![
         Plot {
             title: "service level by time of the first attempt in s",
-            lines: lines_over_time(variants, Counts::service),
+            lines: lines_over_time(variants, Counts::service_level),
         },
         Plot {
             title: "calls to the origin per second",
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -28,7 +28,7 @@
 pub use report::Report;
 pub use scenario::Scenario;
 
-/// Converts a time span of a scenario to the unit of the cluster model.
-fn micros(span: router_config::Span) -> cluster_model::Micros {
-    span.0.as_micros() as cluster_model::Micros
+/// Converts a duration of a scenario to the unit of the cluster model.
+fn micros(duration: router_config::HumanDuration) -> cluster_model::Micros {
+    duration.0.as_micros() as cluster_model::Micros
 }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -20,8 +20,8 @@
 
 /// The violations of a run, as a report states them.
 pub(crate) struct Violations {
-    /// Descriptions of the first ones.
-    pub(crate) shown: Vec<String>,
+    /// Descriptions of the first violations.
+    pub(crate) descriptions: Vec<String>,
     /// Total number of violations.
     pub(crate) count: usize,
 }
@@ -38,7 +38,7 @@
     };
     let first = violations.iter().take(MAX_VIOLATIONS_SHOWN);
     Violations {
-        shown: first.map(describe).collect(),
+        descriptions: first.map(describe).collect(),
         count: violations.len(),
     }
 }
@@ -153,7 +153,7 @@
 
     /// The service level: the fraction of the priority weight that was answered within the latency objective. It is 1
     /// if there were no requests.
-    pub fn service(&self) -> f64 {
+    pub fn service_level(&self) -> f64 {
         if self.priority_weight > 0.0 {
             self.served_weight / self.priority_weight
         } else {
@@ -214,8 +214,9 @@
     pub nodes: u32,
     /// Number of cache servers at the beginning.
     pub servers: u32,
-    /// The service level, as in [`Counts::service`].
-    pub service: f64,
+    /// The service level, as in [`Counts::service_level`].
+    #[serde(rename = "service")]
+    pub service_level: f64,
     /// Results by the name of the class.
     pub classes: BTreeMap<String, ClassReport>,
     /// Counts by [`WINDOW`], from the time of the first attempt.
@@ -294,7 +295,7 @@
             writeln!(
                 f,
                 "class {name}: service level {:.4}, latency ms p50 {:.1} p99 {:.1} p99.9 {:.1}",
-                class.counts.service(),
+                class.counts.service_level(),
                 milliseconds(class.latency.p50_us),
                 milliseconds(class.latency.p99_us),
                 milliseconds(class.latency.p999_us)
@@ -334,7 +335,7 @@
             seed,
             nodes,
             servers,
-            service,
+            service_level,
             events,
             ..
         } = self;
@@ -344,7 +345,7 @@
         )?;
         writeln!(
             f,
-            "service level (fraction of the priority weight served in time): {service:.4}"
+            "service level (fraction of the priority weight served in time): {service_level:.4}"
         )?;
         self.write_windows(f)?;
         self.write_classes(f)?;
--- a/crates/testbed/src/scenario/fault_event.rs
+++ b/crates/testbed/src/scenario/fault_event.rs
@@ -3,7 +3,7 @@
 use std::fmt::{self, Display, Formatter};
 
 use fault_plan::{DescriptorKind, ErrorName, SystemCall};
-use router_config::Span;
+use router_config::HumanDuration;
 use serde::{Deserialize, Serialize};
 
 /// How calls to the origin fail.
@@ -53,7 +53,7 @@
     ]
 }
 
-fn all() -> f64 {
+fn all_members() -> f64 {
     1.0
 }
 
@@ -66,222 +66,226 @@
     #[serde(rename = "replace")]
     ReplaceServers {
         /// When the fault begins.
-        at: Span,
+        at: HumanDuration,
         /// Fraction of the cache servers.
         part: f64,
         /// Time over which the replacements are spread.
-        over: Span,
+        #[serde(rename = "over")]
+        period: HumanDuration,
         /// How long each server drains.
-        drain: Span,
+        drain: HumanDuration,
     },
     /// A fraction of the nodes is killed, all at the same time.
     KillNodes {
         /// When the fault begins.
-        at: Span,
+        at: HumanDuration,
         /// Fraction of the nodes.
         part: f64,
         /// Time after which they start again.
-        back: Span,
+        back: HumanDuration,
     },
     /// A fraction of the nodes is paused, as on a suspended machine. Their connections stay open.
     #[serde(rename = "stop-nodes")]
     PauseNodes {
         /// When the fault begins.
-        at: Span,
+        at: HumanDuration,
         /// Fraction of the nodes.
         part: f64,
         /// How long the fault lasts.
-        lasts: Span,
+        lasts: HumanDuration,
     },
     /// A fraction of the nodes is restarted one after another: each shuts down gracefully and starts again. The load
     /// balancer sends a node new requests for 0.3 s after its shutdown has begun.
     RestartNodes {
         /// When the fault begins.
-        at: Span,
+        at: HumanDuration,
         /// Fraction of the nodes.
         part: f64,
         /// Time over which the restarts are spread.
-        over: Span,
+        #[serde(rename = "over")]
+        period: HumanDuration,
     },
     /// The endpoint list service moves to another address. Open watches end, nodes are notified of the new address (on
     /// sockets by SIGHUP) and fetch the complete list.
     #[serde(rename = "move-list")]
     RelocateList {
         /// When the fault begins.
-        at: Span,
+        at: HumanDuration,
     },
     /// A zone is partitioned from the others.
     #[serde(rename = "cut-zone")]
     IsolateZone {
         /// When the fault begins.
-        at: Span,
+        at: HumanDuration,
         /// Number of the zone.
         zone: u8,
         /// How long the fault lasts.
-        lasts: Span,
+        lasts: HumanDuration,
     },
     /// A fraction of the cache servers crashes without notice. Each starts again with an empty cache.
     #[serde(rename = "lose-servers")]
     CrashServers {
         /// When the fault begins.
-        at: Span,
+        at: HumanDuration,
         /// Fraction of the cache servers.
         part: f64,
         /// Time after which they start again.
-        back: Span,
+        back: HumanDuration,
     },
     /// The endpoint list service is down.
     ListDown {
         /// When the fault begins.
-        at: Span,
+        at: HumanDuration,
         /// How long the fault lasts.
-        lasts: Span,
+        lasts: HumanDuration,
     },
     /// Clients send more requests.
     Burst {
         /// When the fault begins.
-        at: Span,
+        at: HumanDuration,
         /// Multiple of the usual rate.
         factor: f64,
         /// How long the fault lasts.
-        lasts: Span,
+        lasts: HumanDuration,
     },
     /// A fraction of the calls to the origin fails.
     OriginFails {
         /// When the fault begins.
-        at: Span,
+        at: HumanDuration,
         /// Fraction of the calls.
         part: f64,
         /// `late`: status 500 after processing; `early`: status 503 or 504 at once, without processing.
-        how: OriginFailure,
+        #[serde(rename = "how")]
+        failure: OriginFailure,
         /// How long the fault lasts.
-        lasts: Span,
+        lasts: HumanDuration,
     },
     /// The origin is slow: a fraction of its cores is not available to it.
     OriginSlow {
         /// When the fault begins.
-        at: Span,
+        at: HumanDuration,
         /// Fraction of its cores that is not available.
         taken: f64,
         /// How long the fault lasts.
-        lasts: Span,
+        lasts: HumanDuration,
     },
     /// A fraction of the requests asks for one key.
     HotKey {
         /// When the fault begins.
-        at: Span,
+        at: HumanDuration,
         /// Fraction of the requests.
         part: f64,
         /// How long the fault lasts.
-        lasts: Span,
+        lasts: HumanDuration,
     },
     /// A fraction of the requests scans all keys in turn, the least popular first.
     Scan {
         /// When the fault begins.
-        at: Span,
+        at: HumanDuration,
         /// Fraction of the requests.
         part: f64,
         /// How long the fault lasts.
-        lasts: Span,
+        lasts: HumanDuration,
     },
     /// Fractions of the answers of cache servers and the origin are lost, corrupted, or replaced by a connection reset.
     #[serde(rename = "break-answers")]
     DamageAnswers {
         /// When the fault begins.
-        at: Span,
+        at: HumanDuration,
         /// Fraction that never arrives while its connection stays open.
         #[serde(default)]
         lost: f64,
         /// Fraction that arrives with corrupted bytes.
-        #[serde(default)]
-        spoilt: f64,
+        #[serde(default, rename = "spoilt")]
+        corrupted_share: f64,
         /// Fraction for which the connection is reset instead.
         #[serde(default)]
         reset: f64,
         /// How long the fault lasts.
-        lasts: Span,
+        lasts: HumanDuration,
     },
     /// Peers connect to the nodes and send nothing, malformed bytes or an incomplete command. This has an effect on
     /// sockets only, because such peers never reach the policy.
     #[serde(rename = "rubbish")]
     MalformedTraffic {
         /// When the fault begins.
-        at: Span,
+        at: HumanDuration,
         /// Connections per second, at most 1,000.
         per_s: f64,
         /// How long the fault lasts.
-        lasts: Span,
+        lasts: HumanDuration,
     },
     /// Other workloads on the same machines take a fraction of the capacity of some cache servers.
     #[serde(rename = "neighbour")]
     NoisyNeighbour {
         /// When the fault begins.
-        at: Span,
+        at: HumanDuration,
         /// Fraction of the cache servers.
         part: f64,
         /// Fraction of each server's capacity that is taken.
         taken: f64,
         /// How long the fault lasts.
-        lasts: Span,
+        lasts: HumanDuration,
     },
     /// System calls of a fraction of the nodes fail. With `at` 0s the fault is active before the nodes start. It has an
     /// effect on sockets only, because the policy makes no system calls.
     SystemCalls {
         /// When the fault begins.
-        at: Span,
+        at: HumanDuration,
         /// Fraction of the nodes.
-        #[serde(default = "all")]
+        #[serde(default = "all_members")]
         part: f64,
         /// The affected calls.
         calls: Vec<SystemCall>,
         /// Kind of descriptor on which calls that transfer bytes are affected.
-        #[serde(default)]
-        on: DescriptorKind,
+        #[serde(default, rename = "on")]
+        descriptor_kind: DescriptorKind,
         /// The errors that they fail with.
         errors: Vec<ErrorName>,
         /// Fraction of the calls that fails.
         rate: f64,
         /// How long the fault lasts.
-        lasts: Span,
+        lasts: HumanDuration,
     },
     /// System calls of a fraction of the nodes transfer fewer bytes than they could. Otherwise the same as
     /// `system-calls`.
     ShortCounts {
         /// When the fault begins.
-        at: Span,
+        at: HumanDuration,
         /// Fraction of the nodes.
-        #[serde(default = "all")]
+        #[serde(default = "all_members")]
         part: f64,
         /// The affected calls.
         #[serde(default = "default_transfers")]
         calls: Vec<SystemCall>,
         /// Kind of descriptor on which calls are affected.
-        #[serde(default)]
-        on: DescriptorKind,
+        #[serde(default, rename = "on")]
+        descriptor_kind: DescriptorKind,
         /// Fraction of the calls that is cut short.
         rate: f64,
         /// How long the fault lasts.
-        lasts: Span,
+        lasts: HumanDuration,
     },
     /// Wall clocks are stepped for the rest of the run. With `at` 0s the step is made before the nodes start. It has an
     /// effect on sockets only, because in virtual time there is only one clock.
     StepClock {
         /// When the fault begins.
-        at: Span,
+        at: HumanDuration,
         /// Whose clocks are stepped.
-        #[serde(default)]
-        who: ClockOwner,
+        #[serde(default, rename = "who")]
+        clocks: ClockOwner,
         /// Fraction of the nodes, if clocks of nodes are stepped.
-        #[serde(default = "all")]
+        #[serde(default = "all_members")]
         part: f64,
         /// Size of the step in seconds; negative to step back.
-        by_s: f64,
+        #[serde(rename = "by_s")]
+        step_s: f64,
     },
 }
 
 impl FaultEvent {
     /// When the fault begins.
-    pub fn at(&self) -> Span {
+    pub fn at(&self) -> HumanDuration {
         match self {
             FaultEvent::ReplaceServers { at, .. }
             | FaultEvent::KillNodes { at, .. }
@@ -335,7 +339,7 @@
             | FaultEvent::ShortCounts { part, .. } => {
                 format!("{} of the nodes", Percent(*part))
             }
-            FaultEvent::StepClock { who, part, .. } => match who {
+            FaultEvent::StepClock { clocks, part, .. } => match clocks {
                 ClockOwner::Nodes => format!("the clocks of {} of the nodes", Percent(*part)),
                 ClockOwner::Discovery => "the clock of the list service".into(),
                 ClockOwner::All => "all clocks".into(),
@@ -363,10 +367,10 @@
     /// What happens to the subject, for messages.
     fn predicate(&self) -> String {
         match self {
-            FaultEvent::ReplaceServers { over, .. } => format!("are replaced within {over}"),
+            FaultEvent::ReplaceServers { period, .. } => format!("are replaced within {period}"),
             FaultEvent::KillNodes { back, .. } => format!("are killed, restart after {back}"),
             FaultEvent::PauseNodes { lasts, .. } => format!("are paused for {lasts}"),
-            FaultEvent::RestartNodes { over, .. } => format!("are restarted within {over}"),
+            FaultEvent::RestartNodes { period, .. } => format!("are restarted within {period}"),
             FaultEvent::RelocateList { .. } => "moves".into(),
             FaultEvent::IsolateZone { lasts, .. } => format!("is partitioned for {lasts}"),
             FaultEvent::CrashServers { back, .. } => format!("crash, restart cold after {back}"),
@@ -374,7 +378,7 @@
             FaultEvent::Burst { factor, lasts, .. } => {
                 format!("send {factor} times as many requests for {lasts}")
             }
-            FaultEvent::OriginFails { how, lasts, .. } => match how {
+            FaultEvent::OriginFails { failure, lasts, .. } => match failure {
                 OriginFailure::Late => format!("fail after processing for {lasts}"),
                 OriginFailure::Early => format!("are rejected for {lasts}"),
             },
@@ -384,12 +388,12 @@
             FaultEvent::HotKey { lasts, .. } => format!("request the same key for {lasts}"),
             FaultEvent::Scan { lasts, .. } => format!("scan all keys for {lasts}"),
             FaultEvent::DamageAnswers {
-                spoilt,
+                corrupted_share,
                 reset,
                 lasts,
                 ..
             } => {
-                let corrupted = Percent(*spoilt);
+                let corrupted = Percent(*corrupted_share);
                 let reset = Percent(*reset);
                 format!("are lost, {corrupted} corrupted, {reset} reset for {lasts}")
             }
@@ -419,7 +423,7 @@
                 let (rate, calls) = (Percent(*rate), join(calls));
                 format!("have {rate} of {calls} cut short for {lasts}")
             }
-            FaultEvent::StepClock { by_s, .. } => format!("stepped by {by_s:+} s"),
+            FaultEvent::StepClock { step_s, .. } => format!("stepped by {step_s:+} s"),
         }
     }
 }
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use router_config::{ConfigError, Span};
+use router_config::{ConfigError, HumanDuration};
 use serde::{Deserialize, Serialize};
 
 pub use fault_event::{ClockOwner, FaultEvent, OriginFailure};
@@ -27,7 +27,8 @@
     #[serde(default = "one")]
     pub seed: u64,
     /// How long clients send requests.
-    pub length: Span,
+    #[serde(rename = "length")]
+    pub duration: HumanDuration,
     /// Number of nodes.
     pub nodes: u32,
     /// Number of zones. Nodes and servers are assigned to them in turn.
@@ -64,12 +65,12 @@
     T::from(1)
 }
 
-const fn span_us(microseconds: u64) -> Span {
-    Span(Duration::from_micros(microseconds))
+const fn duration_us(microseconds: u64) -> HumanDuration {
+    HumanDuration(Duration::from_micros(microseconds))
 }
 
-const fn span_ms(milliseconds: u64) -> Span {
-    Span(Duration::from_millis(milliseconds))
+const fn duration_ms(milliseconds: u64) -> HumanDuration {
+    HumanDuration(Duration::from_millis(milliseconds))
 }
 
 /// The workload of the clients. It is an open loop: arrival times do not depend on the answers.
@@ -91,7 +92,7 @@
     /// Backoff before the first retry, doubled for each further one, unless the rejection has a retry time
     /// (Retry-After).
     #[serde(default = "default_backoff")]
-    pub backoff: Span,
+    pub backoff: HumanDuration,
     /// The popularity ranking shifts by this many keys per second.
     #[serde(default)]
     pub drift_per_s: f64,
@@ -100,11 +101,11 @@
     pub abandon_share: f64,
     /// Time after which those clients disconnect.
     #[serde(default = "default_backoff", rename = "give_up_after")]
-    pub abandon_after: Span,
+    pub abandon_after: HumanDuration,
 }
 
-fn default_backoff() -> Span {
-    span_ms(50)
+fn default_backoff() -> HumanDuration {
+    duration_ms(50)
 }
 
 /// A class of requests.
@@ -116,15 +117,15 @@
     /// Share of the class in all requests, relative to the sum of the shares of all classes.
     pub share: f64,
     /// Mean work per answer on a reference core.
-    pub work: Span,
+    pub work: HumanDuration,
     /// Standard deviation of that work divided by its mean. The work is log-normally distributed.
     #[serde(default, rename = "spread")]
     pub work_deviation: f64,
     /// Latency objective. A later answer does not count towards the service level.
     #[serde(rename = "aim")]
-    pub latency_objective: Span,
+    pub latency_objective: HumanDuration,
     /// How long its clients wait, over all their attempts.
-    pub deadline: Span,
+    pub deadline: HumanDuration,
     /// Priority weight of an answer within the latency objective.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
@@ -175,7 +176,7 @@
     pub cold_share: f64,
     /// Time after a start by which the server is warm at the latest.
     #[serde(default = "default_warm_up")]
-    pub warm_up: Span,
+    pub warm_up: HumanDuration,
     /// Fraction of the work possible within `warm_up` that is enough to make the server warm. With 0 it warms up by
     /// time alone.
     #[serde(default)]
@@ -186,8 +187,8 @@
     0.2
 }
 
-fn default_warm_up() -> Span {
-    span_ms(20_000)
+fn default_warm_up() -> HumanDuration {
+    duration_ms(20_000)
 }
 
 /// The origin.
@@ -200,23 +201,23 @@
     #[serde(rename = "waiting")]
     pub queue_capacity: usize,
     /// Time that a call takes if no other is in flight.
-    pub work: Span,
+    pub work: HumanDuration,
     /// Number of calls that are processed at full speed.
     pub cores: f64,
     /// The origin collapses after it has rejected calls for this long without a pause of half a second; 0s: never.
     #[serde(default = "zero", rename = "fall_after")]
-    pub collapse_after: Span,
+    pub collapse_after: HumanDuration,
     /// Time from a collapse until the origin is available again.
     #[serde(default = "default_recovery", rename = "back_after")]
-    pub recovery: Span,
+    pub recovery: HumanDuration,
 }
 
-fn zero() -> Span {
-    span_ms(0)
+fn zero() -> HumanDuration {
+    duration_ms(0)
 }
 
-fn default_recovery() -> Span {
-    span_ms(5_000)
+fn default_recovery() -> HumanDuration {
+    duration_ms(5_000)
 }
 
 /// The load balancer that distributes the clients' requests over the nodes.
@@ -225,7 +226,7 @@
 pub struct LoadBalancer {
     /// Time until the load balancer notices that a node has died. The requests that it sends there until then fail.
     #[serde(rename = "notice")]
-    pub detection_delay: Span,
+    pub detection_delay: HumanDuration,
 }
 
 impl Default for LoadBalancer {
@@ -242,10 +243,10 @@
 pub struct Network {
     /// Delay within a zone.
     #[serde(rename = "same")]
-    pub same_zone: Span,
+    pub same_zone: HumanDuration,
     /// Delay between zones.
     #[serde(rename = "cross")]
-    pub cross_zone: Span,
+    pub cross_zone: HumanDuration,
     /// Largest random addition to the delay of a message, as a fraction of the delay.
     pub jitter: f64,
     /// Fraction of the messages from and to servers that are lost.
@@ -256,8 +257,8 @@
 impl Default for Network {
     fn default() -> Self {
         Network {
-            same_zone: span_us(200),
-            cross_zone: span_us(4_000),
+            same_zone: duration_us(200),
+            cross_zone: duration_us(4_000),
             jitter: 0.2,
             loss: 0.0,
         }
@@ -270,20 +271,20 @@
 pub struct EndpointList {
     /// Time to handle one call.
     #[serde(rename = "call")]
-    pub call_time: Span,
+    pub call_time: HumanDuration,
     /// Time until a change of a server is known to the service.
     #[serde(rename = "notice")]
-    pub detection_delay: Span,
+    pub detection_delay: HumanDuration,
     /// A call fails if it waits for longer than this.
-    pub timeout: Span,
+    pub timeout: HumanDuration,
 }
 
 impl Default for EndpointList {
     fn default() -> Self {
         EndpointList {
-            call_time: span_ms(10),
-            detection_delay: span_ms(1_500),
-            timeout: span_ms(2_000),
+            call_time: duration_ms(10),
+            detection_delay: duration_ms(1_500),
+            timeout: duration_ms(2_000),
         }
     }
 }
@@ -298,17 +299,17 @@
     pub collapse_multiple: f64,
     /// Length of that window.
     #[serde(rename = "fall_after")]
-    pub collapse_window: Span,
+    pub collapse_window: HumanDuration,
     /// Nodes must have stopped sending attempts to a server within this time of the notice that it drains.
-    pub drain_grace: Span,
+    pub drain_grace: HumanDuration,
 }
 
 impl Default for Invariants {
     fn default() -> Self {
         Invariants {
             collapse_multiple: 2.5,
-            collapse_window: span_ms(2_000),
-            drain_grace: span_ms(500),
+            collapse_window: duration_ms(2_000),
+            drain_grace: duration_ms(500),
         }
     }
 }
@@ -323,14 +324,17 @@
     /// If the file can't be read or has an invalid value. The error names the file, the line, and what to write
     /// instead.
     pub fn read(path: &Path) -> Result<Scenario, ConfigError> {
-        Scenario::read_with(path, &[])
+        Scenario::read_with_overrides(path, &[])
     }
 
     /// Reads a scenario file and overrides some of its keys. Keys are dotted, and values are written as in the file.
     ///
     /// # Errors
     /// The same as for [`Scenario::read`].
-    pub fn read_with(path: &Path, set: &[(String, String)]) -> Result<Scenario, ConfigError> {
+    pub fn read_with_overrides(
+        path: &Path,
+        set: &[(String, String)],
+    ) -> Result<Scenario, ConfigError> {
         router_config::read_toml(path, set, Scenario::first_invalid_value)
     }
 
--- a/crates/testbed/src/scenario/validation.rs
+++ b/crates/testbed/src/scenario/validation.rs
@@ -1,7 +1,7 @@
 //! Checks a scenario for values that have the right type but are invalid.
 
 use fault_plan::SystemCall;
-use router_config::Span;
+use router_config::HumanDuration;
 
 use super::{FaultEvent, Scenario};
 
@@ -74,7 +74,7 @@
         if self.load.keys == 0 {
             return invalid("load.keys", "found 0: write 1 or more".into());
         }
-        let requests = self.load.per_s * self.length.0.as_secs_f64();
+        let requests = self.load.per_s * self.duration.0.as_secs_f64();
         if requests > MAX_REQUESTS {
             let problem =
                 format!("{requests:.0} requests in total: write at most {MAX_REQUESTS:.0}");
@@ -112,7 +112,7 @@
             let check = FaultCheck { index };
             check
                 .values(fault, self.zones)
-                .or_else(|| check.time(fault.at(), self.length))
+                .or_else(|| check.time(fault.at(), self.duration))
         })
     }
 }
@@ -150,14 +150,14 @@
                 .or_else(|| self.fraction("taken", taken)),
             FaultEvent::DamageAnswers {
                 lost,
-                spoilt,
+                corrupted_share,
                 reset,
                 ..
             } => self
                 .fraction("lost", lost)
-                .or_else(|| self.fraction("spoilt", spoilt))
+                .or_else(|| self.fraction("spoilt", corrupted_share))
                 .or_else(|| self.fraction("reset", reset))
-                .or_else(|| self.fraction("lost", lost + spoilt + reset)),
+                .or_else(|| self.fraction("lost", lost + corrupted_share + reset)),
             FaultEvent::MalformedTraffic { per_s, .. } => self.malformed_rate(per_s),
             FaultEvent::OriginSlow { taken, .. } => self.fraction("taken", taken),
             FaultEvent::Burst { factor, .. } => self.positive("factor", factor),
@@ -184,9 +184,9 @@
                 .or_else(|| self.fraction("rate", rate))
                 .or_else(|| self.some_of("calls", calls, "recv"))
                 .or_else(|| self.transfers(calls)),
-            FaultEvent::StepClock { part, by_s, .. } => self
+            FaultEvent::StepClock { part, step_s, .. } => self
                 .fraction("part", part)
-                .or_else(|| self.clock_step(by_s)),
+                .or_else(|| self.clock_step(step_s)),
         }
     }
 
@@ -205,12 +205,12 @@
         invalid(&self.key("calls"), problem)
     }
 
-    fn clock_step(&self, by_s: f64) -> Finding {
-        if by_s.abs() <= MAX_CLOCK_STEP_S {
+    fn clock_step(&self, step_s: f64) -> Finding {
+        if step_s.abs() <= MAX_CLOCK_STEP_S {
             return None;
         }
         let problem = format!(
-            "found {by_s}: write seconds, {MAX_CLOCK_STEP_S} at most, negative to step back"
+            "found {step_s}: write seconds, {MAX_CLOCK_STEP_S} at most, negative to step back"
         );
         invalid(&self.key("by_s"), problem)
     }
@@ -231,11 +231,11 @@
         invalid(&self.key("zone"), problem)
     }
 
-    fn time(&self, at: Span, length: Span) -> Finding {
-        if at <= length {
+    fn time(&self, at: HumanDuration, duration: HumanDuration) -> Finding {
+        if at <= duration {
             return None;
         }
-        let problem = format!("found {at}, after the end: write at most {length}");
+        let problem = format!("found {at}, after the end: write at most {duration}");
         invalid(&self.key("at"), problem)
     }
 }
--- a/crates/testbed/src/sockets/client_connections.rs
+++ b/crates/testbed/src/sockets/client_connections.rs
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use super::shared::lock;
+use super::shared::lock_ignoring_poison;
 use crate::clients::Reply;
 
 /// Maximum number of idle connections that are kept to one node. Further connections are closed after their reply.
@@ -50,7 +50,7 @@
 
     /// Closes all idle connections.
     pub fn close_idle(&self) {
-        lock(&self.idle).clear();
+        lock_ignoring_poison(&self.idle).clear();
     }
 
     /// Sends a command and reads its reply. The reply counts as served only if it contains the value that the servers
@@ -66,7 +66,7 @@
         command: impl Fn() -> BytesMut,
         value: &[u8],
     ) -> Result<Reply, RequestError> {
-        let idle = lock(&self.idle).pop();
+        let idle = lock_ignoring_poison(&self.idle).pop();
         let connect_error = match idle {
             Some(_) => RequestError::IdleConnectionLost,
             None => RequestError::NotConnected,
@@ -96,7 +96,7 @@
         frame: &BytesFrame,
         value: &[u8],
     ) -> Result<Reply, RequestError> {
-        let mut idle = lock(&self.idle);
+        let mut idle = lock_ignoring_poison(&self.idle);
         if idle.len() < MAX_IDLE {
             idle.push(stream);
         }
--- a/crates/testbed/src/sockets/cluster/attempts.rs
+++ b/crates/testbed/src/sockets/cluster/attempts.rs
@@ -95,12 +95,12 @@
         self.count(intended_at, CountedKind::Attempt);
         *self.attempts_by_server.entry(number).or_default() += 1;
         let started = self.servers.get(&number)?.cache.started();
-        let informed = self.knows_start(now, node, number, started);
+        let sender_knows_start = self.knows_start(now, node, number, started);
         let pending = self.add_job(Some(number), request, attempt);
         let lookup = Lookup {
             key,
             work,
-            informed,
+            sender_knows_start,
         };
         let cache = &mut self.servers.get_mut(&number)?.cache;
         match cache.submit(now, pending.job, lookup) {
@@ -205,7 +205,7 @@
             .get(&number)
             .and_then(|server| server.cache.collapse());
         if let Some(collapse) = collapse {
-            self.invariants.collapsed(number, collapse);
+            self.invariants.server_collapsed(number, collapse);
         }
         self.reset_all(now, lost);
         self.events.collapsed.push(number);
@@ -245,7 +245,7 @@
             // This also holds if the whole deadline passed while the request was unread.
             let apparent_sent_at = sent_at.saturating_sub(unread_time);
             self.invariants
-                .told_deadline(apparent_sent_at, (node, request), remaining);
+                .attempt_stated_deadline(apparent_sent_at, (node, request), remaining);
         }
         Some(SentAttempt { node, attempt })
     }
--- a/crates/testbed/src/sockets/cluster/discovery.rs
+++ b/crates/testbed/src/sockets/cluster/discovery.rs
@@ -5,8 +5,8 @@
 
 use cluster_model::Micros;
 use cluster_model::endpoint_list::{
-    Condition, EndpointList, EndpointListConfig, EndpointRecord, ListCall, ListResponse, NodeId,
-    NodeResponse,
+    EndpointList, EndpointListConfig, EndpointRecord, ListCall, ListResponse, NodeId, NodeResponse,
+    ServerState,
 };
 use cluster_model::invariants::Invariants;
 use tokio::sync::mpsc;
@@ -148,7 +148,7 @@
             .records
             .extend(records.iter().map(|record| (record.server, *record)));
         for server in removed {
-            invariants.notified(now, node, server, false);
+            invariants.node_notified(now, node, server, false);
         }
         notify_invariants(now, node, records, invariants);
     }
@@ -180,8 +180,8 @@
     invariants: &mut Invariants,
 ) {
     for record in records {
-        let ready = record.condition == Condition::Ready;
-        invariants.notified(now, node, record.server, ready);
+        let ready = record.condition == ServerState::Ready;
+        invariants.node_notified(now, node, record.server, ready);
     }
 }
 
@@ -217,8 +217,9 @@
 
     /// The discovery service learns a cache server's condition.
     pub fn endpoint_changed(&mut self, now: Micros, record: EndpointRecord) {
-        let ready = record.condition == Condition::Ready;
-        self.invariants.readiness_known(now, record.server, ready);
+        let ready = record.condition == ServerState::Ready;
+        self.invariants
+            .discovery_learned_readiness(now, record.server, ready);
         for notification in self.discovery.list.publish(now, record) {
             self.discovery
                 .notify(notification.node, notification.response);
@@ -228,7 +229,7 @@
     /// Moves the discovery service to other addresses. All calls and watches end, and the new service does not
     /// recognise the versions that nodes hold.
     pub fn move_discovery(&mut self) {
-        let messages = self.discovery.list.relocate();
+        let messages = self.discovery.list.move_to_new_address();
         self.discovery.notify_all(messages);
     }
 
--- a/crates/testbed/src/sockets/cluster/requests.rs
+++ b/crates/testbed/src/sockets/cluster/requests.rs
@@ -181,7 +181,7 @@
 
     fn forget(&mut self, request: RequestId) {
         if let Some(open) = self.requests.remove(&request) {
-            self.invariants.forget((open.node, request));
+            self.invariants.untrack_ended((open.node, request));
         }
     }
 }
--- a/crates/testbed/src/sockets/driver/clients.rs
+++ b/crates/testbed/src/sockets/driver/clients.rs
@@ -168,7 +168,7 @@
         self.overdue.remove(&request);
         self.record_result(now, request, &result);
         let reply = result.unwrap_or(Reply::Failed);
-        if let Some(retry_at) = self.clients.notified(now, client, reply) {
+        if let Some(retry_at) = self.clients.handle_reply(now, client, reply) {
             self.schedule_at(retry_at, Scheduled::Retry(client));
         }
     }
--- a/crates/testbed/src/sockets/driver/mod.rs
+++ b/crates/testbed/src/sockets/driver/mod.rs
@@ -27,7 +27,7 @@
 use super::loopback::LoopbackBlock;
 use super::router_process::RouterProcess;
 use super::shared::SharedCluster;
-use super::{Options, Progress};
+use super::{Progress, RunOptions};
 use crate::clients::{Clients, Reply, Stream};
 use crate::event_queue::EventQueue;
 use crate::micros;
@@ -103,7 +103,7 @@
 /// A run in progress.
 pub(super) struct Driver<'a> {
     scenario: &'a Scenario,
-    options: &'a Options<'a>,
+    options: &'a RunOptions<'a>,
     shared: Arc<SharedCluster>,
     /// When the first client may arrive.
     begin: Micros,
@@ -160,7 +160,7 @@
 
     /// When the last client may arrive.
     fn last_arrival(&self) -> Micros {
-        self.begin + micros(self.scenario.length)
+        self.begin + micros(self.scenario.duration)
     }
 
     fn latest_end(&self) -> Micros {
@@ -235,7 +235,7 @@
         *reported = counts;
         progress(&Progress {
             elapsed: now.saturating_sub(self.begin),
-            length: micros(self.scenario.length),
+            length: micros(self.scenario.duration),
             recent,
             nodes_up: self.load_balancer.node_count(),
             servers_up,
@@ -251,18 +251,18 @@
         let mut state = self.shared.state();
         let mut violations = report::violations(state.invariants(), self.begin);
         let violation_count = violations.count + self.failures.len();
-        violations.shown.append(&mut self.failures);
+        violations.descriptions.append(&mut self.failures);
         let results = self.clients.results();
         Report {
             seed,
             nodes: self.scenario.nodes,
             servers: self.scenario.kinds.iter().map(|kind| kind.servers).sum(),
-            service: results.service,
+            service_level: results.service_level,
             classes: results.classes,
             windows: results.windows,
             attempts_by_server: state.take_attempts_by_server(),
             events: self.schedule.scheduled_count(),
-            violations: violations.shown,
+            violations: violations.descriptions,
             violation_count,
             injected_faults,
         }
--- a/crates/testbed/src/sockets/driver/schedule.rs
+++ b/crates/testbed/src/sockets/driver/schedule.rs
@@ -1,7 +1,7 @@
 //! Scheduled actions of a run, and what each of them does.
 
 use cluster_model::Micros;
-use cluster_model::endpoint_list::{Condition, EndpointRecord};
+use cluster_model::endpoint_list::{EndpointRecord, ServerState};
 use cluster_model::network::{AnswerFaults, Zone};
 use nix::sys::signal::Signal;
 
@@ -87,7 +87,7 @@
             Scheduled::ScenarioEvent(index) => self.inject(index, now).await,
             Scheduled::DrainServer(server) => {
                 self.shared.state().drain_server(server);
-                self.schedule_endpoint_change(now, server, Condition::Draining, 0);
+                self.schedule_endpoint_change(now, server, ServerState::Draining, 0);
             }
             Scheduled::StopServer(server) => self.stop_server(now, server),
             Scheduled::StartServer(server) => self.start_server(now, server),
--- a/crates/testbed/src/sockets/driver/servers.rs
+++ b/crates/testbed/src/sockets/driver/servers.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cluster_model::Micros;
-use cluster_model::endpoint_list::{Condition, EndpointRecord};
+use cluster_model::endpoint_list::{EndpointRecord, ServerState};
 use cluster_model::network::Zone;
 
 use super::Driver;
@@ -67,7 +67,7 @@
         for link in self.links_to(server) {
             link.update(|state| state.listens = true);
         }
-        self.schedule_endpoint_change(now, server, Condition::Ready, now);
+        self.schedule_endpoint_change(now, server, ServerState::Ready, now);
     }
 
     pub(super) fn stop_server(&mut self, now: Micros, server: ServerNumber) {
@@ -81,7 +81,7 @@
         for link in self.links_to(server) {
             link.fail();
         }
-        self.schedule_endpoint_change(now, server, Condition::Removed, 0);
+        self.schedule_endpoint_change(now, server, ServerState::Removed, 0);
     }
 
     /// Schedules that the discovery service learns a server's condition and start time after the detection delay.
@@ -89,7 +89,7 @@
         &mut self,
         now: Micros,
         server: ServerNumber,
-        condition: Condition,
+        condition: ServerState,
         started: Micros,
     ) {
         let known_at = now + micros(self.scenario.endpoint_list.detection_delay);
--- a/crates/testbed/src/sockets/driver/setup.rs
+++ b/crates/testbed/src/sockets/driver/setup.rs
@@ -21,7 +21,7 @@
 use crate::sockets::router_process::RouterProcess;
 use crate::sockets::services::{discovery, origin};
 use crate::sockets::shared::{SharedCluster, run_due_work, send_heartbeats};
-use crate::sockets::{Options, SocketError};
+use crate::sockets::{RunOptions, SocketError};
 use crate::{deployment, micros};
 
 /// Interval of the checks whether a node has ended while it is starting.
@@ -34,7 +34,7 @@
     pub(in crate::sockets) fn new(
         scenario: &'a Scenario,
         seed: u64,
-        options: &'a Options<'a>,
+        options: &'a RunOptions<'a>,
         injector: Option<&Path>,
     ) -> Result<Driver<'a>, SocketError> {
         let mut driver = Driver::open(scenario, seed, options).map_err(|source| {
@@ -50,7 +50,7 @@
     fn open(
         scenario: &'a Scenario,
         seed: u64,
-        options: &'a Options<'a>,
+        options: &'a RunOptions<'a>,
     ) -> std::io::Result<Driver<'a>> {
         let mut addresses = LoopbackBlock::reserve()?;
         let origin_listener = listen(addresses.next_address()?)?;
--- a/crates/testbed/src/sockets/driver/system_faults.rs
+++ b/crates/testbed/src/sockets/driver/system_faults.rs
@@ -7,7 +7,7 @@
 use fault_plan::{Effect, Fault, StateFileError};
 use rand::Rng;
 use rand::seq::SliceRandom;
-use router_config::Span;
+use router_config::HumanDuration;
 
 use super::Driver;
 use super::schedule::Scheduled;
@@ -42,12 +42,12 @@
     pub(super) fn draw(scenario: &Scenario, random: &mut RandomStream) -> SystemFaults {
         let mut drawn = SystemFaults::default();
         for (event, fault) in scenario.faults.iter().enumerate() {
-            let Some(part) = node_fraction(fault) else {
+            let Some(fraction) = node_fraction(fault) else {
                 continue;
             };
             let mut nodes: Vec<u32> = (0..scenario.nodes).collect();
             nodes.shuffle(random);
-            nodes.truncate((f64::from(scenario.nodes) * part).round() as usize);
+            nodes.truncate((f64::from(scenario.nodes) * fraction).round() as usize);
             let planned = planned_fault(fault);
             drawn.faults.push(SystemFault {
                 event,
@@ -72,7 +72,7 @@
 pub(in crate::sockets) fn needs_fault_injector(scenario: &Scenario) -> bool {
     scenario.faults.iter().any(|fault| {
         node_fraction(fault).is_some()
-            && !matches!(fault, FaultEvent::StepClock { who, .. } if !who.includes_nodes())
+            && !matches!(fault, FaultEvent::StepClock { clocks, .. } if !clocks.includes_nodes())
     })
 }
 
@@ -80,8 +80,8 @@
 fn node_fraction(fault: &FaultEvent) -> Option<f64> {
     match fault {
         FaultEvent::SystemCalls { part, .. } | FaultEvent::ShortCounts { part, .. } => Some(*part),
-        FaultEvent::StepClock { who, part, .. } => {
-            Some(if who.includes_nodes() { *part } else { 0.0 })
+        FaultEvent::StepClock { clocks, part, .. } => {
+            Some(if clocks.includes_nodes() { *part } else { 0.0 })
         }
         _ => None,
     }
@@ -93,14 +93,22 @@
     let (calls, on, effect, rate) = match fault {
         FaultEvent::SystemCalls {
             calls,
-            on,
+            descriptor_kind,
             errors,
             rate,
             ..
-        } => (calls, *on, Effect::Errors(errors.clone()), *rate),
+        } => (
+            calls,
+            *descriptor_kind,
+            Effect::Errors(errors.clone()),
+            *rate,
+        ),
         FaultEvent::ShortCounts {
-            calls, on, rate, ..
-        } => (calls, *on, Effect::Short, *rate),
+            calls,
+            descriptor_kind,
+            rate,
+            ..
+        } => (calls, *descriptor_kind, Effect::Short, *rate),
         _ => return None,
     };
     Some(Fault {
@@ -135,8 +143,8 @@
             if !fault.from_start {
                 continue;
             }
-            if let FaultEvent::StepClock { who, by_s, .. } = scenario.faults[fault.event] {
-                self.step_clocks(now, &fault, who, by_s);
+            if let FaultEvent::StepClock { clocks, step_s, .. } = scenario.faults[fault.event] {
+                self.step_clocks(now, &fault, clocks, step_s);
             } else {
                 self.switch_system_fault(&fault, true);
             }
@@ -144,12 +152,17 @@
     }
 
     /// Begins a fault of system calls, and schedules its end.
-    pub(super) fn begin_system_fault(&mut self, now: Micros, event: usize, lasts: Span) {
+    pub(super) fn begin_system_fault(
+        &mut self,
+        now: Micros,
+        event: usize,
+        duration: HumanDuration,
+    ) {
         let Some(fault) = self.system_faults.for_event(event) else {
             return;
         };
         self.switch_system_fault(&fault, true);
-        self.schedule_at(now + micros(lasts), Scheduled::EndSystemFault(event));
+        self.schedule_at(now + micros(duration), Scheduled::EndSystemFault(event));
     }
 
     /// Ends a fault of system calls.
@@ -164,18 +177,18 @@
         &mut self,
         now: Micros,
         event: usize,
-        who: ClockOwner,
-        by_s: f64,
+        clocks: ClockOwner,
+        step_s: f64,
     ) {
         let fault = self.system_faults.for_event(event);
         if let Some(fault) = fault.filter(|fault| !fault.from_start) {
-            self.step_clocks(now, &fault, who, by_s);
+            self.step_clocks(now, &fault, clocks, step_s);
         }
     }
 
-    fn step_clocks(&mut self, now: Micros, fault: &SystemFault, who: ClockOwner, by_s: f64) {
-        let by = clock_step_us(by_s);
-        if who.includes_discovery() {
+    fn step_clocks(&mut self, now: Micros, fault: &SystemFault, clocks: ClockOwner, step_s: f64) {
+        let by = clock_step_us(step_s);
+        if clocks.includes_discovery() {
             self.shared.step_discovery_clock(now, by);
         }
         self.update_injectors(fault, |injection| injection.step_clock(by));
@@ -183,7 +196,7 @@
 
     fn switch_system_fault(&mut self, fault: &SystemFault, on: bool) {
         if let Some(plan_index) = fault.plan_index {
-            self.update_injectors(fault, |injection| injection.switch(plan_index, on));
+            self.update_injectors(fault, |injection| injection.set_enabled(plan_index, on));
         }
     }
 
--- a/crates/testbed/src/sockets/fault_injection.rs
+++ b/crates/testbed/src/sockets/fault_injection.rs
@@ -83,7 +83,7 @@
         let state_path = self.folder.join(format!("{name}.faults"));
         let state = StateFile::create(&state_path, self.faults.len())?;
         for (plan_index, fault) in self.faults.iter().enumerate() {
-            state.switch(plan_index, fault.is_on)?;
+            state.set_enabled(plan_index, fault.is_on)?;
         }
         state.set_clock_offset(self.clock_offset_ns)?;
         self.state = Some(state);
@@ -121,10 +121,14 @@
     ///
     /// # Errors
     /// Returns an error if the state file can't be written.
-    pub(crate) fn switch(&mut self, plan_index: usize, on: bool) -> Result<(), StateFileError> {
+    pub(crate) fn set_enabled(
+        &mut self,
+        plan_index: usize,
+        on: bool,
+    ) -> Result<(), StateFileError> {
         self.faults[plan_index].is_on = on;
         match &self.state {
-            Some(state) => state.switch(plan_index, on),
+            Some(state) => state.set_enabled(plan_index, on),
             None => Ok(()),
         }
     }
@@ -172,6 +176,6 @@
 }
 
 /// Converts a clock step from seconds to microseconds.
-pub(crate) fn clock_step_us(by_s: f64) -> i64 {
-    (by_s * 1e6) as i64
+pub(crate) fn clock_step_us(step_s: f64) -> i64 {
+    (step_s * 1e6) as i64
 }
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -53,7 +53,7 @@
 pub const MAX_CACHE_SERVERS: u32 = 3_200;
 
 /// Options of a run in addition to its scenario.
-pub struct Options<'a> {
+pub struct RunOptions<'a> {
     /// The `cache-router` program.
     pub program: &'a Path,
     /// An existing folder for the nodes' configurations and logs.
@@ -90,7 +90,7 @@
 pub async fn run(
     scenario: &Scenario,
     seed: u64,
-    options: &Options<'_>,
+    options: &RunOptions<'_>,
     stop: impl Future<Output = ()>,
     mut progress: impl FnMut(&Progress),
 ) -> Result<Report, SocketError> {
--- a/crates/testbed/src/sockets/shared.rs
+++ b/crates/testbed/src/sockets/shared.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use cluster_model::Micros;
-use cluster_model::endpoint_list::{Condition, EndpointRecord, NodeId};
+use cluster_model::endpoint_list::{EndpointRecord, NodeId, ServerState};
 use cluster_model::network::Zone;
 use serde_json::{Value, json};
 use tokio::sync::Notify;
@@ -18,7 +18,7 @@
 use crate::scenario::Scenario;
 
 /// Locks a mutex even if it is poisoned, because a panic in another task fails the run anyway.
-pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+pub fn lock_ignoring_poison<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -129,12 +129,12 @@
 
     /// Locks the cluster's state. The guard must not be held across an await.
     pub fn state(&self) -> MutexGuard<'_, ClusterState> {
-        lock(&self.state)
+        lock_ignoring_poison(&self.state)
     }
 
     /// Adds the address of the next cache server, by number, for the nodes of a zone.
     pub fn add_server_address(&self, zone: Zone, address: SocketAddr) {
-        lock(&self.server_addresses)[usize::from(zone)].push(address);
+        lock_ignoring_poison(&self.server_addresses)[usize::from(zone)].push(address);
     }
 
     /// Wakes [`run_due_work`], because work may be due earlier than before.
@@ -144,7 +144,7 @@
 
     /// Steps the wall clock of the discovery service. Servers that start from now on are listed with the stepped time.
     pub fn step_discovery_clock(&self, at: Micros, by: i64) {
-        lock(&self.discovery_clock_steps).push(ClockStep { at, by });
+        lock_ignoring_poison(&self.discovery_clock_steps).push(ClockStep { at, by });
     }
 
     /// Converts a time to the discovery service's wall clock. 0 means long ago, and stays 0.
@@ -152,7 +152,7 @@
         if at == 0 {
             return 0;
         }
-        let steps = lock(&self.discovery_clock_steps);
+        let steps = lock_ignoring_poison(&self.discovery_clock_steps);
         let offset = steps.iter().filter(|step| step.at <= at);
         at.saturating_add_signed(offset.map(|step| step.by).sum())
     }
@@ -176,7 +176,7 @@
     /// zone.
     pub fn endpoint_list_json(&self, zone: Zone, message: EndpointListMessage<'_>) -> Value {
         let state = self.state();
-        let addresses = lock(&self.server_addresses);
+        let addresses = lock_ignoring_poison(&self.server_addresses);
         let endpoint = |record: &EndpointRecord| {
             let server = state.server_placement(record.server)?;
             let address = addresses
@@ -215,11 +215,11 @@
     server as usize - 1
 }
 
-fn status_name(condition: Condition) -> &'static str {
+fn status_name(condition: ServerState) -> &'static str {
     match condition {
-        Condition::Ready => "active",
-        Condition::Draining => "leaving",
-        Condition::Removed => "left",
+        ServerState::Ready => "active",
+        ServerState::Draining => "leaving",
+        ServerState::Removed => "left",
     }
 }
 
--- a/crates/testbed/src/virtual_time/attempts.rs
+++ b/crates/testbed/src/virtual_time/attempts.rs
@@ -117,7 +117,7 @@
     pub(super) fn send_attempt(&mut self, node: NodeId, request: RequestId, server: ServerId) {
         let Some(open) = self.nodes[node].open.get_mut(&request) else {
             let request = (node, request);
-            return self.invariants.sent_after_forgetting(self.now, request);
+            return self.invariants.sent_untracked_request(self.now, request);
         };
         let attempt = open.attempts_sent;
         let client = open.client;
@@ -175,7 +175,7 @@
             open.deadline.saturating_sub(self.now)
         };
         self.invariants
-            .told_deadline(self.now, (node, request), remaining);
+            .attempt_stated_deadline(self.now, (node, request), remaining);
     }
 
     fn count_attempt(&mut self, client: u64, server: ServerId) {
@@ -207,13 +207,13 @@
         let lookup = Lookup {
             key: client.key,
             work: client.work,
-            informed: self.is_informed(attempt.node(), attempt.server),
+            sender_knows_start: self.knows_start(attempt.node(), attempt.server),
         };
         self.submit_to_cache_server(job, attempt, lookup);
     }
 
     /// Whether a node has been notified of a server's latest start, or should have been by now.
-    fn is_informed(&self, node: NodeId, server: ServerId) -> bool {
+    fn knows_start(&self, node: NodeId, server: ServerId) -> bool {
         let started = self
             .servers
             .get(&server)
@@ -255,7 +255,7 @@
             }
             Admission::Collapsed(lost) => {
                 if let Some(collapse) = server.cache.collapse() {
-                    self.invariants.collapsed(attempt.server, collapse);
+                    self.invariants.server_collapsed(attempt.server, collapse);
                 }
                 self.reset_attempts(lost, job);
                 self.report_server_removed(attempt.server);
--- a/crates/testbed/src/virtual_time/clients.rs
+++ b/crates/testbed/src/virtual_time/clients.rs
@@ -98,7 +98,7 @@
     }
 
     fn handle_reply_arrival(&mut self, client: u64, reply: Reply) {
-        if let Some(retry_at) = self.clients.notified(self.now, client, reply) {
+        if let Some(retry_at) = self.clients.handle_reply(self.now, client, reply) {
             self.schedule(retry_at, Event::Client(ClientEvent::Retry { client }));
         }
     }
--- a/crates/testbed/src/virtual_time/discovery.rs
+++ b/crates/testbed/src/virtual_time/discovery.rs
@@ -2,7 +2,7 @@
 
 use cluster_model::Micros;
 use cluster_model::endpoint_list::{
-    Condition, EndpointRecord, ListCall, ListResponse, NodeId, NodeResponse, Notification,
+    EndpointRecord, ListCall, ListResponse, NodeId, NodeResponse, Notification, ServerState,
 };
 use routing_policy::{Endpoint, EndpointState, Event as PolicyEvent, ListUpdate, ServerId};
 
@@ -122,16 +122,16 @@
         let previous = std::mem::take(&mut self.nodes[node].endpoints);
         for server in previous.into_keys() {
             if !complete.iter().any(|record| record.server == server) {
-                self.invariants.notified(self.now, node, server, false);
+                self.invariants.node_notified(self.now, node, server, false);
             }
         }
     }
 
     /// Records for the invariants that a node has been notified of a server's condition.
     fn record_notification(&mut self, node: NodeId, record: &EndpointRecord) {
-        let ready = record.condition == Condition::Ready;
+        let ready = record.condition == ServerState::Ready;
         self.invariants
-            .notified(self.now, node, record.server, ready);
+            .node_notified(self.now, node, record.server, ready);
     }
 
     fn notify_of_endpoints(&mut self, node: NodeId, update: ListUpdate, endpoints: Vec<Endpoint>) {
@@ -159,9 +159,9 @@
                 kind: server.map_or(0, |server| server.kind as u16),
                 started: record.started,
                 state: match record.condition {
-                    Condition::Ready => EndpointState::Ready,
-                    Condition::Draining => EndpointState::Draining,
-                    Condition::Removed => EndpointState::Removed,
+                    ServerState::Ready => EndpointState::Ready,
+                    ServerState::Draining => EndpointState::Draining,
+                    ServerState::Removed => EndpointState::Removed,
                 },
                 ..Endpoint::default()
             }
@@ -178,7 +178,7 @@
     pub(super) fn report_condition_change(
         &mut self,
         server: ServerId,
-        condition: Condition,
+        condition: ServerState,
         started: Micros,
     ) {
         let record = EndpointRecord {
@@ -192,13 +192,13 @@
     }
 
     pub(super) fn report_server_removed(&mut self, server: ServerId) {
-        self.report_condition_change(server, Condition::Removed, 0);
+        self.report_condition_change(server, ServerState::Removed, 0);
     }
 
     fn publish_change(&mut self, record: EndpointRecord) {
-        let ready = record.condition == Condition::Ready;
+        let ready = record.condition == ServerState::Ready;
         self.invariants
-            .readiness_known(self.now, record.server, ready);
+            .discovery_learned_readiness(self.now, record.server, ready);
         for notification in self.list.publish(self.now, record) {
             let Notification { at, node, response } = notification;
             self.schedule_list_response(at, node, response);
--- a/crates/testbed/src/virtual_time/faults.rs
+++ b/crates/testbed/src/virtual_time/faults.rs
@@ -4,7 +4,7 @@
 use cluster_model::network::{AnswerFaults, Zone};
 use cluster_model::{Micros, RandomStream};
 use rand::seq::SliceRandom;
-use router_config::Span;
+use router_config::HumanDuration;
 use routing_policy::ServerId;
 
 use super::discovery::DiscoveryEvent;
@@ -78,7 +78,7 @@
         }
     }
 
-    fn schedule_end(&mut self, duration: Span, end: FaultEnd) {
+    fn schedule_end(&mut self, duration: HumanDuration, end: FaultEnd) {
         let end = InjectionEvent::End(end);
         self.schedule(self.now + micros(duration), Event::Injection(end));
     }
@@ -86,15 +86,20 @@
     fn begin_fault(&mut self, fault: &FaultEvent) {
         match *fault {
             FaultEvent::ReplaceServers {
-                part, over, drain, ..
-            } => self.replace_servers(part, micros(over), micros(drain)),
+                part,
+                period,
+                drain,
+                ..
+            } => self.replace_servers(part, micros(period), micros(drain)),
             FaultEvent::CrashServers { part, back, .. } => self.crash_servers(part, micros(back)),
             FaultEvent::NoisyNeighbour {
                 part, taken, lasts, ..
             } => self.add_noisy_neighbours(part, taken, lasts),
             FaultEvent::KillNodes { part, back, .. } => self.kill_nodes(part, micros(back)),
             FaultEvent::PauseNodes { part, lasts, .. } => self.pause_nodes(part, micros(lasts)),
-            FaultEvent::RestartNodes { part, over, .. } => self.restart_nodes(part, micros(over)),
+            FaultEvent::RestartNodes { part, period, .. } => {
+                self.restart_nodes(part, micros(period))
+            }
             FaultEvent::RelocateList { .. } => self.relocate_list(),
             FaultEvent::ListDown { lasts, .. } => self.stop_list(micros(lasts)),
             FaultEvent::IsolateZone { zone, lasts, .. } => self.isolate_zone(zone, lasts),
@@ -102,17 +107,20 @@
             FaultEvent::HotKey { part, lasts, .. } => self.begin_hot_key(part, lasts),
             FaultEvent::Scan { part, lasts, .. } => self.begin_scan(part, lasts),
             FaultEvent::OriginFails {
-                part, how, lasts, ..
-            } => self.fail_origin(part, how, lasts),
+                part,
+                failure,
+                lasts,
+                ..
+            } => self.fail_origin(part, failure, lasts),
             FaultEvent::OriginSlow { taken, lasts, .. } => self.slow_origin(taken, lasts),
             FaultEvent::DamageAnswers {
                 lost,
-                spoilt,
+                corrupted_share,
                 reset,
                 lasts,
                 ..
             } => {
-                let corrupted = spoilt;
+                let corrupted = corrupted_share;
                 let faults = AnswerFaults {
                     lost,
                     corrupted,
@@ -215,7 +223,7 @@
         for node in self.nodes.iter_mut() {
             node.list_version = 0;
         }
-        for NodeResponse { node, response } in self.list.relocate() {
+        for NodeResponse { node, response } in self.list.move_to_new_address() {
             self.schedule_list_response(self.now, node, response);
         }
     }
@@ -229,7 +237,7 @@
         self.schedule(self.now + duration, Event::Discovery(restored));
     }
 
-    fn isolate_zone(&mut self, zone: Zone, duration: Span) {
+    fn isolate_zone(&mut self, zone: Zone, duration: HumanDuration) {
         self.set_zone_isolated(zone, true);
         self.schedule_end(duration, FaultEnd::ZoneIsolation { zone });
     }
@@ -239,41 +247,41 @@
             .set_isolated(zone, self.scenario.zones, isolated);
     }
 
-    fn add_noisy_neighbours(&mut self, fraction: f64, stolen_share: f64, duration: Span) {
+    fn add_noisy_neighbours(&mut self, fraction: f64, stolen_share: f64, duration: HumanDuration) {
         for server in self.pick_servers(fraction) {
             self.set_stolen_share(server, stolen_share);
             self.schedule_end(duration, FaultEnd::NoisyNeighbour { server });
         }
     }
 
-    fn begin_burst(&mut self, factor: f64, duration: Span) {
+    fn begin_burst(&mut self, factor: f64, duration: HumanDuration) {
         self.clients.scale_rate(factor);
         self.schedule_end(duration, FaultEnd::Burst { factor });
     }
 
-    fn begin_hot_key(&mut self, fraction: f64, duration: Span) {
+    fn begin_hot_key(&mut self, fraction: f64, duration: HumanDuration) {
         self.clients.adjust_hot_share(fraction);
         self.schedule_end(duration, FaultEnd::HotKey { fraction });
     }
 
-    fn begin_scan(&mut self, fraction: f64, duration: Span) {
+    fn begin_scan(&mut self, fraction: f64, duration: HumanDuration) {
         self.clients.adjust_scan_share(fraction);
         self.schedule_end(duration, FaultEnd::Scan { fraction });
     }
 
-    fn fail_origin(&mut self, fraction: f64, how: OriginFailure, duration: Span) {
+    fn fail_origin(&mut self, fraction: f64, failure: OriginFailure, duration: HumanDuration) {
         self.origin
-            .set_fault(Some(deployment::fault(how, fraction)));
+            .set_fault(Some(deployment::fault(failure, fraction)));
         self.schedule_end(duration, FaultEnd::OriginFailure);
     }
 
-    fn slow_origin(&mut self, stolen_share: f64, duration: Span) {
+    fn slow_origin(&mut self, stolen_share: f64, duration: HumanDuration) {
         self.origin.set_stolen_share(self.now, stolen_share);
         self.schedule_origin();
         self.schedule_end(duration, FaultEnd::OriginSlowness);
     }
 
-    fn damage_answers(&mut self, faults: AnswerFaults, duration: Span) {
+    fn damage_answers(&mut self, faults: AnswerFaults, duration: HumanDuration) {
         self.network.set_answer_faults(faults);
         self.schedule_end(duration, FaultEnd::AnswerDamage);
     }
--- a/crates/testbed/src/virtual_time/mod.rs
+++ b/crates/testbed/src/virtual_time/mod.rs
@@ -109,7 +109,7 @@
 pub fn run_with_options(scenario: &Scenario, seed: u64, options: NodeOptions) -> Report {
     let mut simulation = Simulation::new(scenario, seed, options);
     simulation.begin();
-    let end = BEGIN + micros(scenario.length) + MAX_DRAIN_TIME;
+    let end = BEGIN + micros(scenario.duration) + MAX_DRAIN_TIME;
     while let Some((at, event)) = simulation.queue.pop() {
         if at > end {
             break;
@@ -195,12 +195,12 @@
             seed,
             nodes: self.scenario.nodes,
             servers: self.scenario.server_count(),
-            service: results.service,
+            service_level: results.service_level,
             classes: results.classes,
             windows: results.windows,
             attempts_by_server: self.attempts_by_server,
             events: self.events,
-            violations: violations.shown,
+            violations: violations.descriptions,
             violation_count: violations.count,
             injected_faults: Vec::new(),
         }
--- a/crates/testbed/src/virtual_time/policy_driver.rs
+++ b/crates/testbed/src/virtual_time/policy_driver.rs
@@ -76,7 +76,7 @@
         let is_finished = |open: &OpenRequest| open.complete && open.in_flight == 0;
         if open.get(&request).is_some_and(is_finished) {
             open.remove(&request);
-            self.invariants.forget((node, request));
+            self.invariants.untrack_ended((node, request));
         }
     }
 }
--- a/crates/testbed/tests/atomic_file.rs
+++ b/crates/testbed/tests/atomic_file.rs
@@ -13,7 +13,7 @@
 use std::path::{Path, PathBuf};
 
 use testbed::atomic_file::{
-    FileOperations, WriteError, WriteStep, remove_leftovers, replace, write_atomically,
+    FileOperations, WriteError, WriteStep, remove_stale_temporary_files, replace, write_atomically,
 };
 
 const TARGET: &str = "folder/report.json";
@@ -310,7 +310,7 @@
     ] {
         std::fs::write(folder.path().join(name), "x").unwrap();
     }
-    assert_eq!(remove_leftovers(folder.path()).unwrap(), 1);
+    assert_eq!(remove_stale_temporary_files(folder.path()).unwrap(), 1);
     assert!(!folder.path().join(of_ended_process).exists());
     assert!(folder.path().join(own).exists());
     assert_eq!(std::fs::read_dir(folder.path()).unwrap().count(), 3);
--- a/crates/testbed/tests/clock_faults.rs
+++ b/crates/testbed/tests/clock_faults.rs
@@ -12,7 +12,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use router_config::Span;
+use router_config::HumanDuration;
 use testbed::scenario::FaultEvent;
 use testbed::virtual_time::{self, Defect, NodeOptions};
 use testbed::{Report, Scenario};
@@ -40,8 +40,8 @@
 fn run_on_sockets(name: &str, seed: u64) -> Report {
     let mut scenario = read(name);
     for class in &mut scenario.classes {
-        class.latency_objective = Span(Duration::from_secs(5));
-        class.deadline = Span(Duration::from_secs(8));
+        class.latency_objective = HumanDuration(Duration::from_secs(5));
+        class.deadline = HumanDuration(Duration::from_secs(8));
     }
     let folder = tempfile::tempdir().unwrap();
     let never = std::future::pending();
@@ -57,7 +57,7 @@
 
 /// The indices in a scenario of the faults that step clocks of nodes.
 fn node_clock_steps(scenario: &Scenario) -> Vec<usize> {
-    let is_step = |fault: &FaultEvent| matches!(fault, FaultEvent::StepClock { who, .. } if who.includes_nodes());
+    let is_step = |fault: &FaultEvent| matches!(fault, FaultEvent::StepClock { clocks, .. } if clocks.includes_nodes());
     let faults = scenario.faults.iter().enumerate();
     let steps = faults.filter(|(_, fault)| is_step(fault));
     steps.map(|(index, _)| index).collect()
--- a/crates/testbed/tests/experiments.rs
+++ b/crates/testbed/tests/experiments.rs
@@ -112,7 +112,7 @@
             seed,
             variant: variant.into(),
         };
-        reports[&run].service
+        reports[&run].service_level
     };
     let mean = (1..=2)
         .map(|seed| service(seed, "b <slow>") - service(seed, "a"))
--- a/crates/testbed/tests/fleet_sizes.rs
+++ b/crates/testbed/tests/fleet_sizes.rs
@@ -8,7 +8,7 @@
 )]
 
 use testbed::Scenario;
-use testbed::fleet_sizes::{Comparison, FleetUsage, NodeUsageSampler, Verdict, with_servers};
+use testbed::fleet_sizes::{Comparison, FleetUsage, NodeUsageSampler, Verdict, with_server_count};
 
 fn calm() -> Scenario {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/scenarios/calm.toml");
@@ -25,7 +25,7 @@
             .sum()
     };
     for servers in [25, 26, 400, 3_200] {
-        let resized = with_servers(&scenario, servers);
+        let resized = with_server_count(&scenario, servers);
         assert_eq!(resized.server_count(), servers);
         let ratio = memory(&resized) as f64 / memory(&scenario) as f64;
         assert!((0.999..1.001).contains(&ratio), "{servers}: {ratio}");
@@ -36,8 +36,8 @@
         );
         assert!(resized.kinds.iter().all(|kind| kind.slots > 0));
     }
-    assert_eq!(with_servers(&scenario, 25), scenario);
-    let fewer_than_kinds = with_servers(&scenario, 1);
+    assert_eq!(with_server_count(&scenario, 25), scenario);
+    let fewer_than_kinds = with_server_count(&scenario, 1);
     assert!(fewer_than_kinds.kinds.iter().all(|kind| kind.servers == 1));
 }
 
@@ -48,7 +48,7 @@
     descriptors: 40.0,
     server_connections: 40.0,
     list_bytes: 10e3,
-    service: 0.8,
+    service_level: 0.8,
 };
 
 #[test]
@@ -62,7 +62,7 @@
         descriptors: 120.0,
         server_connections: 140.0,
         list_bytes: 583e3,
-        service: 0.6801,
+        service_level: 0.6801,
     };
     let comparison = Comparison::new(&BASELINE, &at_limit);
     assert!(comparison.is_within_limits(), "{comparison}");
@@ -78,7 +78,7 @@
         descriptors: 80.0,
         server_connections: 90.0,
         list_bytes: 296e3,
-        service: 0.745,
+        service_level: 0.745,
     };
     let comparison = Comparison::new(&BASELINE, &at_half);
     let mut verdicts = comparison.verdicts();
@@ -92,7 +92,7 @@
         |usage| usage.descriptors = 121.0,
         |usage| usage.server_connections = 141.0,
         |usage| usage.list_bytes = 585e3,
-        |usage| usage.service = 0.679,
+        |usage| usage.service_level = 0.679,
     ];
     for (index, change) in usages_over_limit.iter().enumerate() {
         let mut usage = at_half;
--- a/crates/testbed/tests/invariants.rs
+++ b/crates/testbed/tests/invariants.rs
@@ -10,21 +10,21 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use router_config::Span;
+use router_config::HumanDuration;
 use testbed::report::Counts;
 use testbed::scenario::{FaultEvent, Idempotency};
 use testbed::virtual_time::{Defect, NodeOptions, run, run_with_options};
 use testbed::{Report, Scenario};
 
-fn milliseconds(milliseconds: u64) -> Span {
-    Span(Duration::from_millis(milliseconds))
+fn milliseconds(milliseconds: u64) -> HumanDuration {
+    HumanDuration(Duration::from_millis(milliseconds))
 }
 
 /// A fleet with spare capacity that runs for some seconds with these faults.
 fn scenario(seconds: u64, faults: Vec<FaultEvent>) -> Scenario {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("scenarios/calm.toml");
     let mut scenario = Scenario::read(&path).unwrap_or_else(|e| panic!("{e}"));
-    scenario.length = Span(Duration::from_secs(seconds));
+    scenario.duration = HumanDuration(Duration::from_secs(seconds));
     scenario.faults = faults;
     scenario
 }
@@ -60,7 +60,7 @@
     let replaced = FaultEvent::ReplaceServers {
         at: milliseconds(500),
         part: 0.6,
-        over: milliseconds(500),
+        period: milliseconds(500),
         drain: milliseconds(1_000),
     };
     let mut scenario = scenario(4, vec![replaced]);
@@ -93,7 +93,7 @@
         lasts: milliseconds(2_000),
     };
     let mut scenario = cold_start(1);
-    scenario.length = milliseconds(6_000);
+    scenario.duration = milliseconds(6_000);
     scenario.faults = vec![lost, burst];
     for seed in [2, 22, 23] {
         let report = run(&scenario, seed);
@@ -121,14 +121,14 @@
     let lost = FaultEvent::DamageAnswers {
         at: milliseconds(0),
         lost: 0.3,
-        spoilt: 0.1,
+        corrupted_share: 0.1,
         reset: 0.1,
-        lasts: Span(Duration::from_secs(seconds)),
+        lasts: HumanDuration(Duration::from_secs(seconds)),
     };
     let slow_origin = FaultEvent::OriginSlow {
         at: milliseconds(0),
         taken: 0.8,
-        lasts: Span(Duration::from_secs(seconds)),
+        lasts: HumanDuration(Duration::from_secs(seconds)),
     };
     scenario(seconds, vec![lost, slow_origin])
 }
@@ -176,7 +176,7 @@
 /// All nodes are restarted one after another while the origin is almost unavailable; requests have this deadline.
 fn restarts(deadline_ms: u64) -> Scenario {
     let mut scenario = lossy(6);
-    scenario.length = milliseconds(3_000);
+    scenario.duration = milliseconds(3_000);
     scenario.faults.push(FaultEvent::OriginSlow {
         at: milliseconds(1),
         taken: 0.99,
@@ -185,7 +185,7 @@
     scenario.faults.push(FaultEvent::RestartNodes {
         at: milliseconds(1_000),
         part: 1.0,
-        over: milliseconds(1_000),
+        period: milliseconds(1_000),
     });
     for class in &mut scenario.classes {
         class.deadline = milliseconds(deadline_ms);
@@ -221,7 +221,7 @@
     let mut faults = vec![FaultEvent::ReplaceServers {
         at: milliseconds(200),
         part: 0.3,
-        over: milliseconds(100),
+        period: milliseconds(100),
         drain: milliseconds(11_000),
     }];
     let violation = "drain: ";
--- a/crates/testbed/tests/scenarios.rs
+++ b/crates/testbed/tests/scenarios.rs
@@ -112,7 +112,7 @@
     let quiet = read("quiet.toml").unwrap();
     assert_eq!(quiet.load.per_s, 300.0);
     assert_eq!(quiet.kinds, calm.kinds);
-    assert_eq!(quiet.length, calm.length);
+    assert_eq!(quiet.duration, calm.duration);
     write("wrong.toml", "base = \"quiet.toml\"\nload.per_s = -1.0\n");
     let invalid = error("wrong.toml");
     assert!(
--- a/crates/testbed/tests/socket_run/mod.rs
+++ b/crates/testbed/tests/socket_run/mod.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use testbed::sockets::{Options, Progress, SocketError, run};
+use testbed::sockets::{Progress, RunOptions, SocketError, run};
 use testbed::{Report, Scenario, program};
 
 /// Runs a scenario until its end, or until `stop` completes. The nodes' configurations and logs are in `folder`.
@@ -14,7 +14,7 @@
     progress: impl FnMut(&Progress),
 ) -> Result<Report, SocketError> {
     let program = program::find(None).unwrap();
-    let options = Options {
+    let options = RunOptions {
         program: &program,
         folder,
     };
--- a/crates/testbed/tests/sockets.rs
+++ b/crates/testbed/tests/sockets.rs
@@ -13,7 +13,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use router_config::Span;
+use router_config::HumanDuration;
 use testbed::report::Counts;
 use testbed::scenario::{FaultEvent, Idempotency};
 use testbed::sockets::{Progress, SocketError};
@@ -23,15 +23,15 @@
 
 const SEED: u64 = 3;
 
-fn millis(millis: u64) -> Span {
-    Span(Duration::from_millis(millis))
+fn millis(millis: u64) -> HumanDuration {
+    HumanDuration(Duration::from_millis(millis))
 }
 
 /// A small fleet that runs for three seconds. Its latency objectives are long enough for a slow machine to meet them.
 fn small_fleet() -> Scenario {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("scenarios/demo.toml");
     let mut scenario = Scenario::read(&path).unwrap();
-    scenario.length = millis(3_000);
+    scenario.duration = millis(3_000);
     scenario.nodes = 3;
     scenario.faults = Vec::new();
     scenario.load.per_s = 60.0;
@@ -99,7 +99,10 @@
     let ended = run_to_end(&small_fleet());
     let report = ended.report();
     assert_each_request_ends_once(report);
-    assert!(report.invariants_hold() && report.service > 0.9, "{report}");
+    assert!(
+        report.invariants_hold() && report.service_level > 0.9,
+        "{report}"
+    );
     assert!(
         sum(report, |counts| counts.attempts) > 0 && sum(report, |counts| counts.origin_calls) > 0,
         "{report}"
@@ -151,7 +154,7 @@
         FaultEvent::ReplaceServers {
             at: millis(300),
             part: 0.5,
-            over: millis(500),
+            period: millis(500),
             drain: millis(500),
         },
         FaultEvent::IsolateZone {
@@ -173,7 +176,10 @@
     let ended = run_to_end(&scenario);
     let report = ended.report();
     assert_each_request_ends_once(report);
-    assert!(report.invariants_hold() && report.service > 0.3, "{report}");
+    assert!(
+        report.invariants_hold() && report.service_level > 0.3,
+        "{report}"
+    );
     assert!(
         report.attempts_by_server.keys().any(|server| *server > 6),
         "no attempt reached a replacement server: {report}"
@@ -245,7 +251,7 @@
         FaultEvent::DamageAnswers {
             at: millis(200),
             lost: 0.05,
-            spoilt: 0.1,
+            corrupted_share: 0.1,
             reset: 0.1,
             lasts: millis(2_300),
         },
@@ -258,7 +264,10 @@
     let ended = run_to_end(&scenario);
     let report = ended.report();
     assert_each_request_ends_once(report);
-    assert!(report.invariants_hold() && report.service > 0.3, "{report}");
+    assert!(
+        report.invariants_hold() && report.service_level > 0.3,
+        "{report}"
+    );
     assert!(
         sum(report, |counts| counts.failed) > 0,
         "a write whose reply was damaged may have run, so it must count as failed: {report}"
@@ -273,14 +282,17 @@
         FaultEvent::RestartNodes {
             at: millis(300),
             part: 1.0,
-            over: millis(1_500),
+            period: millis(1_500),
         },
         FaultEvent::RelocateList { at: millis(2_500) },
     ];
     let ended = run_to_end(&scenario);
     let report = ended.report();
     assert_each_request_ends_once(report);
-    assert!(report.invariants_hold() && report.service > 0.5, "{report}");
+    assert!(
+        report.invariants_hold() && report.service_level > 0.5,
+        "{report}"
+    );
     for node in 0..3 {
         let log =
             std::fs::read_to_string(ended.folder.path().join(format!("n{node}.log"))).unwrap();
--- a/crates/testbed/tests/sockets_answers.rs
+++ b/crates/testbed/tests/sockets_answers.rs
@@ -12,21 +12,21 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use router_config::Span;
+use router_config::HumanDuration;
 use testbed::scenario::FaultEvent;
 use testbed::{Report, Scenario};
 
 use socket_run::run_scenario;
 
-fn millis(millis: u64) -> Span {
-    Span(Duration::from_millis(millis))
+fn millis(millis: u64) -> HumanDuration {
+    HumanDuration(Duration::from_millis(millis))
 }
 
 /// One node that runs for three seconds. Its clients wait 0.2 s and never retry.
 fn one_node(faults: Vec<FaultEvent>) -> Scenario {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("scenarios/demo.toml");
     let mut scenario = Scenario::read(&path).unwrap();
-    scenario.length = millis(3_000);
+    scenario.duration = millis(3_000);
     scenario.nodes = 1;
     scenario.faults = faults;
     scenario.load.per_s = 60.0;
@@ -88,7 +88,7 @@
         FaultEvent::RestartNodes {
             at: millis(1_000),
             part: 1.0,
-            over: millis(1),
+            period: millis(1),
         },
         // The paused node neither answers nor ends, while its clients keep sending on their existing connections.
         FaultEvent::PauseNodes {
@@ -112,7 +112,7 @@
     let restart = FaultEvent::RestartNodes {
         at: millis(1_000),
         part: 1.0,
-        over: millis(1),
+        period: millis(1),
     };
     let mut scenario = one_node(vec![restart]);
     for class in &mut scenario.classes {
--- a/crates/testbed/tests/sockets_rules.rs
+++ b/crates/testbed/tests/sockets_rules.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use cluster_model::Micros;
-use cluster_model::endpoint_list::{Condition, EndpointRecord};
-use router_config::Span;
+use cluster_model::endpoint_list::{EndpointRecord, ServerState};
+use router_config::HumanDuration;
 use testbed::Scenario;
 use testbed::clients::Client;
 use testbed::sockets::cluster::{
@@ -28,7 +28,7 @@
     let mut scenario = Scenario::read(&path).unwrap();
     scenario.faults = Vec::new();
     for class in &mut scenario.classes {
-        class.deadline = Span(Duration::from_secs(2));
+        class.deadline = HumanDuration(Duration::from_secs(2));
     }
     scenario
 }
@@ -119,11 +119,11 @@
     );
 }
 
-fn publish(cluster: &mut ClusterState, now: Micros, server: ServerNumber, condition: Condition) {
+fn publish(cluster: &mut ClusterState, now: Micros, server: ServerNumber, condition: ServerState) {
     let record = EndpointRecord {
         server,
         condition,
-        started: if condition == Condition::Ready {
+        started: if condition == ServerState::Ready {
             now
         } else {
             0
@@ -137,7 +137,7 @@
     for (reachable, violated) in [(true, true), (false, false)] {
         let mut cluster = cluster(&scenario());
         cluster.set_discovery_up(START, reachable);
-        publish(&mut cluster, START, 1, Condition::Draining);
+        publish(&mut cluster, START, 1, ServerState::Draining);
         let now = START + 8 * SECOND;
         begin_request(&mut cluster, now, 1);
         cluster.attempt_at_server(now, 1, attempt_without_deadline(1));
@@ -163,13 +163,13 @@
         let mut scenario = scenario();
         for kind in &mut scenario.kinds {
             kind.cold_share = 0.05;
-            kind.warm_up = Span(Duration::from_secs(60));
+            kind.warm_up = HumanDuration(Duration::from_secs(60));
         }
         let mut cluster = cluster(&scenario);
         cluster.stop_server(START, 1);
         cluster.restart_server(START, 1);
         cluster.set_discovery_up(START, reachable);
-        publish(&mut cluster, START, 1, Condition::Ready);
+        publish(&mut cluster, START, 1, ServerState::Ready);
         overload(&mut cluster, START + 7 * SECOND, 1);
         assert_eq!(violates(&mut cluster, "failback: "), violated);
     }
--- a/crates/testbed/tests/system_call_faults.rs
+++ b/crates/testbed/tests/system_call_faults.rs
@@ -20,7 +20,7 @@
 use fault_plan::{
     ClockStep, DescriptorKind, Effect, ErrorName, Fault, PLAN_VARIABLE, Plan, StateFile, SystemCall,
 };
-use router_config::Span;
+use router_config::HumanDuration;
 use testbed::fault_matrix::FaultKind;
 use testbed::report::Counts;
 use testbed::sockets::SocketError;
@@ -105,10 +105,10 @@
     let mut scenario = Scenario::read(&scenarios().join("faults/calm.toml")).unwrap();
     let without = testbed::virtual_time::run(&scenario, 5);
     for kind in FaultKind::ALL {
-        scenario.faults.extend(kind.events(0.2, scenario.length));
+        scenario.faults.extend(kind.events(0.2, scenario.duration));
     }
     let with = testbed::virtual_time::run(&scenario, 5);
-    assert_eq!(with.service, without.service);
+    assert_eq!(with.service_level, without.service_level);
     assert_eq!(with.classes, without.classes);
     let json = serde_json::to_string(&without).unwrap();
     assert!(!json.contains("injected"), "{json}");
@@ -313,8 +313,8 @@
         let position = slot * fault_plan::layout::SLOT_BYTES;
         u64::from_ne_bytes(bytes[position..][..8].try_into().unwrap())
     };
-    use fault_plan::layout::{calls, injected};
-    (slot(calls(0)), slot(injected(0)))
+    use fault_plan::layout::{eligible_calls, injected};
+    (slot(eligible_calls(0)), slot(injected(0)))
 }
 
 #[test]
@@ -408,7 +408,7 @@
     for line in lines {
         if line.unwrap().ends_with("begun") {
             assert_eq!(state.counts(0).unwrap().calls, 0);
-            state.switch(0, true).unwrap();
+            state.set_enabled(0, true).unwrap();
         }
     }
     assert!(process.wait().unwrap().success());
@@ -418,8 +418,8 @@
 
 // Nodes on real sockets.
 
-fn millis(millis: u64) -> Span {
-    Span(Duration::from_millis(millis))
+fn millis(millis: u64) -> HumanDuration {
+    HumanDuration(Duration::from_millis(millis))
 }
 
 /// A scenario of the fault matrix, of six nodes for four seconds. The request rate is low and the latency objectives
@@ -461,7 +461,7 @@
 /// Runs a case. Returns the error of the run or the first failed check, or `None` if all checks pass.
 fn run_and_check(case: &FaultCase) -> Option<String> {
     let mut scenario = scenario_for_slow_machines(case.scenario);
-    let events = case.kind.events(case.rate, scenario.length);
+    let events = case.kind.events(case.rate, scenario.duration);
     scenario.faults.extend(events);
     let report = match run_with_seed(&scenario, case.seed) {
         Ok(report) => report,
@@ -482,7 +482,7 @@
             ended == sum(&report, |counts| counts.requests),
         ),
         ("invariants were violated", report.invariants_hold()),
-        ("the service level is too low", report.service > 0.95),
+        ("the service level is too low", report.service_level > 0.95),
         ("no fault was injected", injected > 0),
     ];
     let failed = checks.iter().find(|(_, holds)| !holds)?;
--- a/crates/testbed/tests/virtual_time.rs
+++ b/crates/testbed/tests/virtual_time.rs
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use router_config::Span;
+use router_config::HumanDuration;
 use testbed::report::Counts;
 use testbed::scenario::{FaultEvent, LoadBalancer, OriginFailure};
 use testbed::virtual_time::run;
@@ -24,22 +24,24 @@
 /// A scenario shortened to its first seconds.
 fn shortened(name: &str, seconds: u64) -> Scenario {
     let mut scenario = scenario(name);
-    scenario.length = Span(Duration::from_secs(seconds));
-    scenario.faults.retain(|fault| fault.at() < scenario.length);
+    scenario.duration = HumanDuration(Duration::from_secs(seconds));
+    scenario
+        .faults
+        .retain(|fault| fault.at() < scenario.duration);
     scenario
 }
 
-fn milliseconds(milliseconds: u64) -> Span {
-    Span(Duration::from_millis(milliseconds))
+fn milliseconds(milliseconds: u64) -> HumanDuration {
+    HumanDuration(Duration::from_millis(milliseconds))
 }
 
 /// Time at which the faults of these tests begin.
-fn fault_start() -> Span {
+fn fault_start() -> HumanDuration {
     milliseconds(1_000)
 }
 
 /// Duration of the faults of these tests.
-fn fault_duration() -> Span {
+fn fault_duration() -> HumanDuration {
     milliseconds(2_000)
 }
 
@@ -86,7 +88,7 @@
 fn a_cluster_without_faults_serves_nearly_all_in_time_and_keeps_the_invariants() {
     let report = run(&shortened("calm", 6), 1);
     assert!(
-        report.service > 0.95 && report.invariants_hold(),
+        report.service_level > 0.95 && report.invariants_hold(),
         "{report}"
     );
     let requests = sum(&report, |window| window.requests);
@@ -128,7 +130,7 @@
             sum(&report, |window| window.client_attempts) > requests,
             "some clients retried"
         );
-        assert!(report.service > 0.3, "{report}");
+        assert!(report.service_level > 0.3, "{report}");
     }
 }
 
@@ -136,7 +138,7 @@
 fn replacing_most_servers_violates_no_invariant_and_the_cluster_recovers() {
     let report = run(&scenario("replace"), 3);
     assert!(report.invariants_hold(), "{report}");
-    let service: Vec<_> = report.windows.iter().map(Counts::service).collect();
+    let service: Vec<_> = report.windows.iter().map(Counts::service_level).collect();
     assert!(service[0] > 0.9 && service[3] > 0.8, "{report}");
 }
 
@@ -148,7 +150,10 @@
     }
     let full = run(&shortened("calm", 6), 1);
     let slow = run(&slow, 1);
-    assert!(slow.service < full.service - 0.2, "{full}{slow}");
+    assert!(
+        slow.service_level < full.service_level - 0.2,
+        "{full}{slow}"
+    );
     assert!(
         sum(&slow, |window| window.rejected_attempts)
             > sum(&full, |window| window.rejected_attempts),
@@ -163,7 +168,7 @@
     let failing_origin = with_fault(FaultEvent::OriginFails {
         at,
         part: 1.0,
-        how: OriginFailure::Late,
+        failure: OriginFailure::Late,
         lasts,
     });
     assert!(
@@ -188,13 +193,13 @@
     let damaged = with_fault(FaultEvent::DamageAnswers {
         at,
         lost: 0.1,
-        spoilt: 0.1,
+        corrupted_share: 0.1,
         reset: 0.2,
         lasts,
     });
     for report in [&failing_origin, &slow_origin, &paused, &damaged] {
         assert!(
-            report.service < baseline.service && report.invariants_hold(),
+            report.service_level < baseline.service_level && report.invariants_hold(),
             "{report}"
         );
     }
@@ -220,14 +225,14 @@
     let restarted = with_fault(FaultEvent::RestartNodes {
         at: fault_start(),
         part: 1.0,
-        over: fault_duration(),
+        period: fault_duration(),
     });
     let relocated = with_fault(FaultEvent::RelocateList { at: fault_start() });
     assert!(
         restarted.invariants_hold() && relocated.invariants_hold(),
         "{restarted}{relocated}"
     );
-    assert!(restarted.service > 0.9, "{restarted}");
+    assert!(restarted.service_level > 0.9, "{restarted}");
 }
 
 #[test]
