--- a/crates/cluster-model/tests/endpoint_list.rs
+++ b/crates/cluster-model/tests/endpoint_list.rs
@@ -15,27 +15,27 @@
 const MILLISECOND: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 
-/// An update without its records.
+/// An update with the number of its records instead of the records.
 #[derive(Debug, PartialEq)]
 struct Summary {
     version: u64,
     complete: bool,
-    records: usize,
+    record_count: usize,
 }
 
-fn complete(version: u64, records: usize) -> Summary {
+fn complete_list(version: u64, record_count: usize) -> Summary {
     Summary {
         version,
         complete: true,
-        records,
+        record_count,
     }
 }
 
-fn changes(version: u64, records: usize) -> Summary {
+fn changes_up_to(version: u64, record_count: usize) -> Summary {
     Summary {
         version,
         complete: false,
-        records,
+        record_count,
     }
 }
 
@@ -48,7 +48,7 @@
         } => Summary {
             version: *version,
             complete: *complete,
-            records: records.len(),
+            record_count: records.len(),
         },
         ListResponse::Failed => panic!("the call failed"),
     }
@@ -62,7 +62,7 @@
     }
 }
 
-/// Makes a call as node 9 and returns the first response.
+/// Makes a call as node 9 and returns the first response after the call time, which is 10 ms by default.
 fn call_as_node_9(list: &mut EndpointList, now: Micros, call: ListCall) -> Summary {
     assert_eq!(list.call(now, 9, call), None);
     let responses = list.process(now + 10 * MILLISECOND);
@@ -77,11 +77,11 @@
     };
     let mut list = EndpointList::new(config, 1..=5);
     let watch = |after| ListCall::Watch { after };
-    assert_eq!(call_as_node_9(&mut list, 0, watch(0)), complete(1, 5));
+    assert_eq!(call_as_node_9(&mut list, 0, watch(0)), complete_list(1, 5));
     let notifications = list.publish(SECOND, draining(3));
     assert_eq!(notifications.len(), 1);
     assert_eq!(notifications[0].node, 9);
-    assert_eq!(summary(&notifications[0].response), changes(2, 1));
+    assert_eq!(summary(&notifications[0].response), changes_up_to(2, 1));
     list.disconnect(9);
     let removed = EndpointRecord {
         condition: ServerState::Removed,
@@ -90,28 +90,28 @@
     assert!(list.publish(2 * SECOND, removed).is_empty());
     assert_eq!(
         call_as_node_9(&mut list, 3 * SECOND, watch(2)),
-        changes(3, 1),
+        changes_up_to(3, 1),
         "the changes after version 2"
     );
     list.publish(4 * SECOND, draining(4));
     assert_eq!(
         call_as_node_9(&mut list, 5 * SECOND, watch(1)),
-        complete(4, 4),
+        complete_list(4, 4),
         "version 1 is older than the history"
     );
     assert_eq!(
         call_as_node_9(&mut list, 6 * SECOND, watch(4)),
-        changes(4, 0),
+        changes_up_to(4, 0),
         "no change after version 4"
     );
     assert_eq!(
         call_as_node_9(&mut list, 7 * SECOND, watch(99)),
-        complete(4, 4),
-        "the version comes from an earlier run of the service"
+        complete_list(4, 4),
+        "version 99 is newer than the list, so it comes from an earlier run of the service"
     );
     assert_eq!(
         call_as_node_9(&mut list, 8 * SECOND, ListCall::Complete),
-        complete(4, 4)
+        complete_list(4, 4)
     );
 }
 
@@ -123,7 +123,7 @@
     }
     let mut answered = 0;
     let mut failed = 0;
-    let mut last = 0;
+    let mut last_event_at = 0;
     while let Some(at) = list.next_event_at() {
         for NodeResponse { response, .. } in list.process(at) {
             if response == ListResponse::Failed {
@@ -132,17 +132,19 @@
                 answered += 1;
             }
         }
-        last = at;
+        last_event_at = at;
     }
-    assert_eq!((answered, failed, last), (200, 100, 2 * SECOND));
+    // At a call time of 10 ms, 200 calls are answered within the timeout of 2 s.
+    assert_eq!((answered, failed, last_event_at), (200, 100, 2 * SECOND));
 }
 
 #[test]
-fn an_outage_ends_watches_and_fails_calls_and_versions_continue_afterwards() {
+fn an_outage_ends_watches_and_fails_calls_but_does_not_reset_the_version() {
     let mut list = EndpointList::new(EndpointListConfig::default(), 1..=5);
     list.call(0, 1, ListCall::Watch { after: 0 });
     list.process(10 * MILLISECOND);
     list.call(20 * MILLISECOND, 2, ListCall::Complete);
+    // Node 1 has a watch. The call of node 2 is waiting.
     assert_eq!(
         list.set_available(25 * MILLISECOND, false),
         [1, 2].map(|node| NodeResponse {
@@ -159,5 +161,5 @@
     list.call(SECOND, 1, ListCall::Watch { after: 1 });
     let responses = list.process(SECOND + 10 * MILLISECOND);
     assert_eq!(responses[0].node, 1);
-    assert_eq!(summary(&responses[0].response), changes(2, 1));
+    assert_eq!(summary(&responses[0].response), changes_up_to(2, 1));
 }
--- a/crates/cluster-model/tests/invariants.rs
+++ b/crates/cluster-model/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Each deliberate violation of an invariant is reported, and behaviour at its limits is not.
+//! Each violation of an invariant is reported. Behaviour just within the limits is not.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -11,6 +11,7 @@
 };
 use cluster_model::slow_start_budget::Collapse;
 
+/// The request of most tests, which node 3 accepts.
 const REQUEST: RequestKey = RequestKey { node: 3, id: 17 };
 const SECOND: u64 = 1_000_000;
 
@@ -18,6 +19,7 @@
     RequestKey { node, id }
 }
 
+/// Creates a checker with an answer grace of 20 ms instead of the default of 500 ms.
 fn invariants() -> Invariants {
     Invariants::new(InvariantLimits {
         answer_grace: 20_000,
@@ -54,12 +56,12 @@
         all.violations()[0].to_string(),
         "1.020 s: lost: node 3 gave request 1 no final answer in time"
     );
-    let mut killed = invariants();
-    killed.accepted(REQUEST, SECOND, Idempotency::Idempotent);
-    killed.killed(3);
-    killed.finish(2 * SECOND);
+    let mut with_killed_node = invariants();
+    with_killed_node.accepted(REQUEST, SECOND, Idempotency::Idempotent);
+    with_killed_node.killed(3);
+    with_killed_node.finish(2 * SECOND);
     assert_eq!(
-        violations(&killed),
+        violations(&with_killed_node),
         [],
         "the clients of a killed node retry"
     );
@@ -67,14 +69,15 @@
 
 #[test]
 fn a_paused_node_learns_which_clients_left_only_when_it_resumes() {
-    for (sent, allowed) in [(2 * SECOND + 100_000, true), (2 * SECOND + 100_001, false)] {
+    // The grace of 100 ms after the client left starts when the node resumes.
+    for (sent_at, allowed) in [(2 * SECOND + 100_000, true), (2 * SECOND + 100_001, false)] {
         let mut all = invariants();
         all.accepted(REQUEST, SECOND, Idempotency::Idempotent);
         all.paused(SECOND / 2, 3);
         all.client_gone(SECOND, REQUEST);
         all.resumed(2 * SECOND, 3);
-        all.sent(sent, REQUEST, 0, 7);
-        assert_eq!(violations(&all).is_empty(), allowed, "sent at {sent}");
+        all.sent(sent_at, REQUEST, 0, 7);
+        assert_eq!(violations(&all).is_empty(), allowed, "sent at {sent_at}");
     }
     let mut all = invariants();
     all.accepted(REQUEST, SECOND, Idempotency::Idempotent);
@@ -91,7 +94,7 @@
 
 #[test]
 fn a_paused_node_must_answer_within_the_grace_after_it_resumes() {
-    let answered_at = |resumed_at: u64, answered_at: u64| {
+    let violations_if_answered = |resumed_at: u64, answered_at: u64| {
         let mut all = Invariants::default();
         all.accepted(REQUEST, SECOND, Idempotency::Idempotent);
         all.paused(SECOND / 2, 3);
@@ -99,17 +102,17 @@
         all.answered(answered_at, REQUEST, true);
         violations(&all)
     };
-    assert_eq!(answered_at(3 * SECOND, 3_500_000), []);
+    assert_eq!(violations_if_answered(3 * SECOND, 3_500_000), []);
     let lost = [ViolationKind::Lost(REQUEST)];
     assert_eq!(
-        answered_at(3 * SECOND, 3_500_001),
+        violations_if_answered(3 * SECOND, 3_500_001),
         lost,
-        "the pause does not release the node"
+        "a pause does not release the node from answering"
     );
     assert_eq!(
-        answered_at(600_000, 1_500_001),
+        violations_if_answered(600_000, 1_500_001),
         lost,
-        "the pause ended before the deadline"
+        "a pause that ends before the deadline does not extend the time limit"
     );
     let mut all = Invariants::default();
     all.accepted(REQUEST, SECOND, Idempotency::Idempotent);
@@ -149,7 +152,8 @@
 }
 
 #[test]
-fn an_attempt_tells_its_server_at_most_the_remaining_time_and_a_slack() {
+fn an_attempt_may_overstate_the_remaining_time_to_its_server_by_at_most_the_slack() {
+    // The slack is 150 ms.
     let mut all = Invariants::default();
     all.accepted(REQUEST, SECOND, Idempotency::Idempotent);
     all.attempt_stated_deadline(0, REQUEST, SECOND);
@@ -165,18 +169,22 @@
 }
 
 #[test]
-fn a_request_that_its_node_aborts_is_lost_at_once_and_only_once() {
+fn a_request_that_its_node_aborts_is_reported_as_lost_exactly_once() {
     let mut all = invariants();
     all.accepted(REQUEST, SECOND, Idempotency::Idempotent);
     all.aborted(10, REQUEST);
     all.aborted(20, REQUEST);
     all.finish(2 * SECOND);
     assert_eq!(violations(&all), [ViolationKind::Lost(REQUEST)]);
-    let mut answered = invariants();
-    answered.accepted(REQUEST, SECOND, Idempotency::Idempotent);
-    answered.answered(10, REQUEST, false);
-    answered.aborted(20, REQUEST);
-    assert_eq!(violations(&answered), [], "an answered request is not lost");
+    let mut already_answered = invariants();
+    already_answered.accepted(REQUEST, SECOND, Idempotency::Idempotent);
+    already_answered.answered(10, REQUEST, false);
+    already_answered.aborted(20, REQUEST);
+    assert_eq!(
+        violations(&already_answered),
+        [],
+        "an answered request is not lost"
+    );
 }
 
 #[test]
@@ -249,6 +257,7 @@
 
 #[test]
 fn the_drain_grace_counts_from_the_notice_or_from_six_seconds_after_discovery_knew_of_the_drain() {
+    // Node 3 is notified, node 4 is not. The drain grace is 550 ms.
     let other = request(4, 1);
     let mut all = invariants();
     all.discovery_learned_readiness(SECOND, 8, false);
@@ -272,8 +281,11 @@
 }
 
 #[test]
-fn a_change_counts_as_notified_six_seconds_after_discovery_knew_of_it_and_was_reachable() {
-    let sent_at = |now| {
+fn a_change_counts_as_notified_six_seconds_after_it_became_available_from_discovery() {
+    // Discovery learns of the drain of server 7 before its outage, and of the drain of server 8 and the start of server
+    // 9 during the outage. The results are the number of violations for each drain and whether the start counts as
+    // notified.
+    let results_at = |now| {
         let mut all = Invariants::default();
         all.discovery_learned_readiness(SECOND, 7, false);
         all.discovery_reachable(2 * SECOND, false);
@@ -281,17 +293,17 @@
         all.discovery_learned_readiness(3 * SECOND, 9, true);
         all.discovery_reachable(10 * SECOND, true);
         all.sent(now, REQUEST, 0, 7);
-        let drained = all.violations().len();
+        let before_outage = all.violations().len();
         all.sent(now, REQUEST, 0, 8);
-        let drained_in_outage = all.violations().len() - drained;
-        let start = all.start_counts_as_notified(now, 9);
-        (drained, drained_in_outage, start)
+        let in_outage = all.violations().len() - before_outage;
+        let start_is_notified = all.start_counts_as_notified(now, 9);
+        (before_outage, in_outage, start_is_notified)
     };
-    assert_eq!(sent_at(7 * SECOND + 550_000), (0, 0, false));
-    assert_eq!(sent_at(7 * SECOND + 550_001), (1, 0, false));
-    assert_eq!(sent_at(16 * SECOND - 1), (1, 0, false));
-    assert_eq!(sent_at(16 * SECOND), (1, 0, true));
-    assert_eq!(sent_at(16 * SECOND + 550_001), (1, 1, true));
+    assert_eq!(results_at(7 * SECOND + 550_000), (0, 0, false));
+    assert_eq!(results_at(7 * SECOND + 550_001), (1, 0, false));
+    assert_eq!(results_at(16 * SECOND - 1), (1, 0, false));
+    assert_eq!(results_at(16 * SECOND), (1, 0, true));
+    assert_eq!(results_at(16 * SECOND + 550_001), (1, 1, true));
 }
 
 #[test]
--- a/crates/router-config/src/logging/line_queue.rs
+++ b/crates/router-config/src/logging/line_queue.rs
@@ -2,8 +2,8 @@
 //! such as a full pipe that is not read, blocks only that thread.
 //!
 //! A line is dropped if the queue is full or if writing it fails, for example because the reader has exited or the disk
-//! is full. The number of dropped lines is written to the log once all queued lines have been processed and the log
-//! accepts lines again.
+//! is full. The number of dropped lines is reported in the log once the queue is empty and the latest write has
+//! succeeded.
 
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, Write};
@@ -18,12 +18,12 @@
 
 /// Maximum number of bytes in the queue. This is several thousand lines.
 const MAX_QUEUED_BYTES: usize = 1024 * 1024;
-/// Pause before the next write to a non-blocking log that would have blocked.
+/// Pause before a write that returned [`ErrorKind::WouldBlock`] is retried.
 const WOULD_BLOCK_PAUSE: Duration = Duration::from_millis(20);
 /// Maximum time for which [`LineQueue::flush`] waits for the queued lines to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The queue of the log of this process, which is standard error.
+/// Returns the queue for standard error, which is the log of this process.
 pub fn standard_error() -> &'static LineQueue {
     static STANDARD_ERROR: OnceLock<LineQueue> = OnceLock::new();
     STANDARD_ERROR.get_or_init(|| LineQueue::new(io::stderr()))
@@ -35,15 +35,16 @@
     shared: Arc<Shared>,
 }
 
-/// State that the queue shares with the writing thread.
+/// Data that the clones of the queue share with the writing thread.
 struct Shared {
     /// The log. The writing thread holds this lock as long as it runs.
     log: Mutex<Box<dyn Write + Send>>,
     state: Mutex<State>,
     line_added: Condvar,
-    all_written: Condvar,
+    all_processed: Condvar,
 }
 
+/// The queued lines and the progress of the writing thread.
 #[derive(Default)]
 struct State {
     thread_running: bool,
@@ -51,18 +52,18 @@
     /// Total size of the lines in `queued`.
     queued_bytes: usize,
     is_writing: bool,
-    /// Number of lines that were dropped since the last report.
+    /// Number of dropped lines that have not been reported yet.
     dropped: u64,
-    /// Format of the reports.
+    /// Format of the report of dropped lines.
     format: Format,
 }
 
 /// The next line that the thread writes.
 struct NextLine {
     bytes: Vec<u8>,
-    /// Number of lines that count as dropped if this line cannot be written. For a report, this is the number of lines
-    /// that it reports.
-    line_count: u64,
+    /// Number of lines to count as dropped if the write fails: 1 for a line from the queue, the reported number for a
+    /// report of dropped lines.
+    dropped_on_failure: u64,
 }
 
 impl LineQueue {
@@ -73,7 +74,7 @@
                 log: Mutex::new(Box::new(log)),
                 state: Mutex::default(),
                 line_added: Condvar::new(),
-                all_written: Condvar::new(),
+                all_processed: Condvar::new(),
             }),
         }
     }
@@ -97,7 +98,8 @@
         self.shared.line_added.notify_one();
     }
 
-    /// Waits until all lines are written, but no longer than `FLUSH_TIMEOUT`. Returns whether all lines are written.
+    /// Waits until every queued line has been written or dropped, but no longer than `FLUSH_TIMEOUT`. Returns `false`
+    /// on timeout.
     pub fn flush(&self) -> bool {
         let deadline = Instant::now() + FLUSH_TIMEOUT;
         let mut state = lock(&self.shared.state);
@@ -107,14 +109,14 @@
                 return false;
             }
             self.start_thread(&mut state);
-            let waited = self.shared.all_written.wait_timeout(state, remaining);
-            state = waited.unwrap_or_else(PoisonError::into_inner).0;
+            let wait_result = self.shared.all_processed.wait_timeout(state, remaining);
+            state = wait_result.unwrap_or_else(PoisonError::into_inner).0;
         }
         true
     }
 
-    /// Starts the writing thread unless it is running. If the system cannot create a thread, the lines stay queued
-    /// until the next call.
+    /// Starts the writing thread unless it is running. If the system cannot create a thread, the lines stay queued, and
+    /// a later `push` or `flush` tries again.
     fn start_thread(&self, state: &mut State) {
         if state.thread_running {
             return;
@@ -138,7 +140,7 @@
     }
 }
 
-/// Collects the written bytes into one line and adds the line to the queue when dropped.
+/// Collects the written bytes into one line. The destructor adds the line to the queue.
 pub struct LineWriter {
     queue: LineQueue,
     line: Vec<u8>,
@@ -165,58 +167,60 @@
     /// Writes lines for as long as the process runs.
     fn write_lines(&self) {
         let mut log = lock(&self.log);
-        let mut can_write = true;
-        // Whether the log ends with an incomplete line, of which only a part could be written.
+        let mut last_write_succeeded = true;
+        // Whether the log ends with a line of which only a part was written.
         let mut has_incomplete_line = false;
         loop {
-            let mut line = self.next_line(can_write);
+            let mut line = self.wait_for_next_line(last_write_succeeded);
             if has_incomplete_line {
-                // Terminates the incomplete line, so that the next line starts on a line of its own.
+                // Terminates the incomplete line, so that this line is not appended to it.
                 line.bytes.insert(0, b'\n');
             }
             let written = write_line(&mut **log, &line.bytes);
-            can_write = written == Written::Whole;
-            has_incomplete_line = written == Written::Part || (has_incomplete_line && !can_write);
-            if !can_write {
-                lock(&self.state).dropped += line.line_count;
+            last_write_succeeded = written == Written::Whole;
+            has_incomplete_line =
+                written == Written::Part || (has_incomplete_line && !last_write_succeeded);
+            if !last_write_succeeded {
+                lock(&self.state).dropped += line.dropped_on_failure;
             }
         }
     }
 
     /// Waits for the next line. This is a line from the queue, or a report of dropped lines if the queue is empty and
     /// the previous write succeeded.
-    fn next_line(&self, can_write: bool) -> NextLine {
+    fn wait_for_next_line(&self, last_write_succeeded: bool) -> NextLine {
         let mut state = lock(&self.state);
         state.is_writing = false;
         loop {
-            let next = state.next_line(can_write);
+            let next = state.take_next_line(last_write_succeeded);
             if let Some(line) = next {
                 state.is_writing = true;
                 return line;
             }
-            self.all_written.notify_all();
-            let added = self.line_added.wait(state);
-            state = added.unwrap_or_else(PoisonError::into_inner);
+            self.all_processed.notify_all();
+            let wait_result = self.line_added.wait(state);
+            state = wait_result.unwrap_or_else(PoisonError::into_inner);
         }
     }
 }
 
 impl State {
-    fn next_line(&mut self, can_write: bool) -> Option<NextLine> {
+    /// Takes the next line to write, or returns `None` if there is none yet.
+    fn take_next_line(&mut self, last_write_succeeded: bool) -> Option<NextLine> {
         if let Some(bytes) = self.queued.pop_front() {
             self.queued_bytes -= bytes.len();
             return Some(NextLine {
                 bytes,
-                line_count: 1,
+                dropped_on_failure: 1,
             });
         }
-        if self.dropped == 0 || !can_write {
+        if self.dropped == 0 || !last_write_succeeded {
             return None;
         }
         let dropped = std::mem::take(&mut self.dropped);
         Some(NextLine {
             bytes: Notice::Dropped { lines: dropped }.to_line(self.format),
-            line_count: dropped,
+            dropped_on_failure: dropped,
         })
     }
 }
@@ -229,7 +233,7 @@
     Nothing,
 }
 
-/// Writes a line. A log may accept only a part of the line at a time.
+/// Writes a line. A log may accept only a part of the line at a time. A write that accepts no bytes is a failure.
 fn write_line(log: &mut dyn Write, line: &[u8]) -> Written {
     let mut rest = line;
     while !rest.is_empty() {
