--- a/crates/acceptance/src/margins/report.rs
+++ b/crates/acceptance/src/margins/report.rs
@@ -10,13 +10,13 @@
 use super::limits::{STATED_DEADLINE_SLACK_US, is_mostly_from_notified_nodes};
 use super::table::{seconds, signed_seconds};
 
-/// Maximum number of restarted servers that are listed, highest load first.
-const MAX_LISTED_SERVERS: usize = 10;
+/// Maximum number of server starts that are listed, highest load first.
+const MAX_LISTED_STARTS: usize = 10;
 
 impl Display for Margins {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         for (kind, capacity) in &self.capacity {
-            writeln!(f, "capacity of kind {kind}: {capacity}")?;
+            writeln!(f, "capacity of server kind {kind}: {capacity}")?;
         }
         write!(f, "{}", self.slow_start)?;
         if let Some(send) = &self.send_after_drain {
@@ -54,7 +54,7 @@
 
 impl Display for Capacity {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        let certainty = if self.is_saturated {
+        let basis = if self.is_saturated {
             "measured while saturated"
         } else {
             "lower bound, never saturated"
@@ -62,27 +62,28 @@
         let rate = self.attempts_per_s;
         write!(
             f,
-            "a warm server answers {rate:.1} attempts per second ({certainty})"
+            "a warm server answers {rate:.1} attempts per second ({basis})"
         )
     }
 }
 
 impl Display for SlowStart {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        for window in self.worst_windows.iter().take(MAX_LISTED_SERVERS) {
+        for window in self.worst_windows.iter().take(MAX_LISTED_STARTS) {
             writeln!(f, "slow start: {window}")?;
         }
-        let others = self.worst_windows.len().saturating_sub(MAX_LISTED_SERVERS);
+        let others = self.worst_windows.len().saturating_sub(MAX_LISTED_STARTS);
         if others > 0 {
             writeln!(
                 f,
-                "slow start: {others} more restarted servers with a lower load"
+                "slow start: {others} more server starts, none with a higher load"
             )?;
         }
         if self.starts_of_unknown_capacity > 0 {
             writeln!(
                 f,
-                "slow start: {} restarted servers are left out because no warm server of their kind answered",
+                "slow start: {} server starts are left out: no warm server of their kind answered, so the \
+                 capacity is unknown",
                 self.starts_of_unknown_capacity
             )?;
         }
@@ -94,8 +95,9 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "server {} of kind {}: {} attempts of a budget of {:.1} in the window that ends {:.2} s after its start, \
-             from {} nodes; {} of the attempts from the {} nodes that had been notified; {} answered",
+            "server {} of kind {}: {} attempts, with a budget of {:.1}, in the window that ends {:.2} s after the \
+             server's start, from {} nodes; {} of the attempts came from the {} nodes that had been notified of the \
+             start; {} attempts were answered",
             self.server,
             self.kind,
             self.attempts,
@@ -116,14 +118,14 @@
 
 impl Display for SendAfterDrain {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        let since = if self.in_own_list {
-            "its list showed the drain or removal"
+        let event = if self.in_own_list {
+            "the node's list showed the drain or removal"
         } else {
-            "it counted as notified of the drain or removal"
+            "the node counted as notified of the drain or removal"
         };
         write!(
             f,
-            "node {} sent to server {} {:.3} s after {since}",
+            "node {} sent an attempt to server {}, {:.3} s after {event}",
             self.node,
             self.server,
             seconds(self.elapsed)
@@ -136,7 +138,7 @@
         if let Some(longest) = self.longest_delay {
             writeln!(
                 f,
-                "notification: node {} was notified that a server is not ready {:.3} s after the first node",
+                "notification: node {} was notified of a drain or removal {:.3} s after the first node was",
                 longest.node,
                 seconds(longest.delay)
             )?;
@@ -144,8 +146,8 @@
         if let Some(longest) = self.longest_after_start {
             writeln!(
                 f,
-                "notification: a later process of node {}, which counts as notified from its start, was notified {:.3} s after \
-                 its start",
+                "notification: a process of node {}, started after all nodes counted as notified of a drain or \
+                 removal, was notified of it {:.3} s after its start",
                 longest.node,
                 seconds(longest.delay)
             )?;
@@ -158,7 +160,7 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "request {} {:.3} s after its deadline",
+            "request {}, answered {:.3} s after its deadline",
             self.client_request_id,
             signed_seconds(self.lateness_us)
         )
@@ -169,8 +171,9 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{} never answered, {} answered too late, {} dropped when the node closed their connection, {} open when their \
-             process exited, {} open when it was killed during shutdown; undetermined: {} open at the end of a trace",
+            "{} never answered, {} answered too late, {} dropped when the node closed their connection, {} open when \
+             the node's process exited, {} open when that process was killed during shutdown; undetermined: {} open at \
+             the end of the trace of the process",
             self.never_answered,
             self.answered_too_late,
             self.dropped,
@@ -196,7 +199,8 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{} requests whose clients disconnected, {} attempts after that, {} of them too late (lost requests)",
+            "{} requests whose clients disconnected, {} attempts that began after the disconnect, {} of them too late \
+             (each counts as a lost request)",
             self.disconnects, self.attempts_after, self.lost
         )?;
         if let Some(latest) = &self.latest {
@@ -224,7 +228,7 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{} attempts, {} stated a deadline over {:.2} s beyond the time left",
+            "{} attempts stated a deadline; {} of the deadlines exceed the time left to the client by over {:.2} s",
             self.recorded,
             self.over_limit,
             seconds(STATED_DEADLINE_SLACK_US)
@@ -247,7 +251,8 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{} of {} restarted processes late, {} undetermined because they ended or the recording was too short",
+            "{} of {} restarted processes were late; {} others are undetermined, because they or the recording ended \
+             before the time limit",
             self.late, self.judged, self.undetermined
         )?;
         if let Some(slowest) = self.slowest {
@@ -271,31 +276,32 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Gap::RequestWork => {
-                "the work of a request: in slow start each attempt counts as mean work"
+                "the work of a request: the slow-start budget treats each attempt as one with mean work"
             }
             Gap::DiscoveryUpdateTime => {
-                "when discovery had a change and was reachable: the first notification of any node is used instead, so \
-                 delays are lower bounds"
+                "when discovery had a change and was reachable: the time at which the first node was notified is \
+                 used instead, so delays are lower bounds"
             }
             Gap::Reconfiguration => {
-                "when a new configuration arrived: the rule that a change counts as notified 4 s after SIGHUP is not checked"
+                "when a new configuration arrived: the rule that a node counts as notified of it 4 s after SIGHUP is \
+                 not checked"
             }
             Gap::ByteTransferTime => {
-                "when bytes arrived and left: requests count from when they were read, attempts from when they were handed \
-                 to a connection, answers from when they were decided"
+                "when bytes arrived and left: requests are timed from when the node read them, attempts from when it \
+                 handed them to a connection, answers from when it decided on them"
             }
             Gap::StatedDeadlines => "the deadlines that attempts state (no `deadline` lines)",
             Gap::DisconnectTime => {
-                "when the close of a client was read (no `departed` lines): disconnects count from when the node had \
-                 handled them, so lateness is a lower bound"
+                "when a node read that a client had closed its connection (no `departed` lines): disconnects are timed \
+                 from when the node had handled them, so the time of an attempt after the disconnect is a lower bound"
             }
             Gap::DroppedRequests => {
-                "whether a node closed the connection of a pending request itself (no `dropped` lines): such a request \
-                 looks like a client disconnect or an open request"
+                "whether the node itself closed the connection of a pending request (no `dropped` lines): such a \
+                 request looks like a client disconnect or an open request"
             }
             Gap::ReadinessTime => {
-                "when a process was launched and first answered PING (no `ready` lines): readiness is measured from the \
-                 first line of its trace to its first ready server"
+                "when a process was launched and first answered PING (no `ready` lines): readiness is measured from \
+                 the first line of its trace to the first line that lists a ready server"
             }
             Gap::ProcessEndCause => {
                 "why a process ended (no `terminate` or `exit` lines): requests that were open at its end are undetermined"
--- a/crates/testbed/src/load/receiver.rs
+++ b/crates/testbed/src/load/receiver.rs
@@ -1,4 +1,4 @@
-//! The receiver threads: one per connection reads the replies and records latencies.
+//! The receiver threads. Each reads the replies on one connection and records their latencies.
 
 use std::io::Read;
 use std::net::TcpStream;
@@ -16,9 +16,11 @@
 /// Size of the buffer for one read from a connection.
 pub(super) const READ_SIZE: usize = 64 * 1024;
 
-/// A request without a reply so far.
+/// A request that has no reply yet.
 pub(super) struct InFlightRequest {
+    /// When the request was due to be sent.
     pub(super) intended_at: Instant,
+    /// When the sender began to write it.
     pub(super) sent_at: Instant,
 }
 
@@ -27,24 +29,24 @@
     pub(super) served: u64,
     pub(super) rejected: u64,
     pub(super) failed: u64,
-    /// Latencies from the intended time, in nanoseconds.
+    /// Latencies from the time at which the request was due, in nanoseconds.
     pub(super) latency: Histogram<u64>,
-    /// Latencies from the time of sending, in nanoseconds.
+    /// Latencies from the time of sending, not corrected for coordinated omission, in nanoseconds.
     pub(super) uncorrected: Histogram<u64>,
     /// When the last reply arrived.
     pub(super) last_reply_at: Instant,
 }
 
 impl Received {
-    /// No replies so far.
-    pub(super) fn new(begin: Instant) -> Self {
+    /// Counts of 0. `start` is reported as the time of the last reply until a reply arrives.
+    pub(super) fn new(start: Instant) -> Self {
         Received {
             served: 0,
             rejected: 0,
             failed: 0,
             latency: latency_histogram(),
             uncorrected: latency_histogram(),
-            last_reply_at: begin,
+            last_reply_at: start,
         }
     }
 
@@ -70,18 +72,19 @@
                 self.uncorrected
                     .saturating_record(uncorrected.as_nanos() as u64);
             }
-            BytesFrame::Error(line) if line.starts_with("BUSY") => self.rejected += 1,
+            BytesFrame::Error(message) if message.starts_with("BUSY") => self.rejected += 1,
             _ => self.failed += 1,
         }
     }
 }
 
-/// Reads replies until the connection ends or the last request has its reply.
+/// Reads the replies to the requests from the `in_flight` queue, in order. Ends when the sender has closed the queue
+/// and all its requests have replies, when the connection ends, or when a reply is malformed.
 pub(super) fn receive(input: &mut TcpStream, in_flight: &Receiver<InFlightRequest>) -> Received {
     let mut received = Received::new(Instant::now());
     let mut buffer = BytesMut::new();
     let mut chunk = vec![0; READ_SIZE];
-    // `recv` fails once the sender has dropped its end of the queue after its last request.
+    // `recv` fails once the queue is empty and the sender, after its last request, has dropped its end.
     while let Ok(request) = in_flight.recv() {
         let Some(reply) = read_reply(input, &mut buffer, &mut chunk) else {
             break;
@@ -101,10 +104,10 @@
         if let Some((reply, ..)) = decode_bytes_mut(buffer).ok()? {
             return Some(reply);
         }
-        let count = input.read(chunk).ok()?;
-        if count == 0 {
+        let bytes_read = input.read(chunk).ok()?;
+        if bytes_read == 0 {
             return None;
         }
-        buffer.extend_from_slice(&chunk[..count]);
+        buffer.extend_from_slice(&chunk[..bytes_read]);
     }
 }
--- a/crates/testbed/src/sockets/shared.rs
+++ b/crates/testbed/src/sockets/shared.rs
@@ -25,20 +25,21 @@
 /// An endpoint list, or a change to it, that is sent to nodes.
 #[derive(Debug, Clone, Copy)]
 pub struct EndpointListMessage<'a> {
-    /// The version that a node holds after it.
+    /// The version of the list that a node holds once it has applied the message.
     pub version: u64,
-    /// Whether it replaces the list that the node holds.
+    /// Whether the message is a complete list, which replaces the list that the node holds.
     pub complete: bool,
-    /// Cache servers in the message.
+    /// The cache servers that are listed or changed.
     pub records: &'a [EndpointRecord],
 }
 
-/// A step of a wall clock.
+/// A sudden change of a wall clock.
 #[derive(Debug, Clone, Copy)]
 struct ClockStep {
+    /// Time of the step by the clock of the run.
     at: Micros,
     /// Offset in microseconds; negative for a step back.
-    by: i64,
+    offset: i64,
 }
 
 /// Counts of the traffic between the nodes and the emulated services.
@@ -79,15 +80,18 @@
     value: Bytes,
     /// Steps of the discovery service's wall clock, in chronological order.
     discovery_clock_steps: Mutex<Vec<ClockStep>>,
-    /// The address of each cache server for the nodes of each zone.
+    /// For the nodes of each zone, the addresses at which they reach the cache servers. Indexed by zone, then by
+    /// [`address_index`].
     server_addresses: Mutex<Vec<Vec<SocketAddr>>>,
-    origin: SocketAddr,
+    origin_address: SocketAddr,
+    /// Names of the server kinds, by index of the kind in the scenario.
     kind_names: Vec<String>,
 }
 
 impl SharedCluster {
-    /// Creates the cluster of a scenario, with its origin at this address. The clock starts now.
-    pub fn new(scenario: &Scenario, seed: u64, origin: SocketAddr) -> SharedCluster {
+    /// Creates the cluster of a scenario and starts its clock. Nodes are given `origin_address` as the address of the
+    /// origin.
+    pub fn new(scenario: &Scenario, seed: u64, origin_address: SocketAddr) -> SharedCluster {
         let clock = Clock::start();
         let state = ClusterState::new(scenario, seed, clock.unix_start());
         SharedCluster {
@@ -98,7 +102,7 @@
             value: Bytes::from(vec![b'v'; scenario.load.value_bytes as usize]),
             discovery_clock_steps: Mutex::default(),
             server_addresses: Mutex::new(vec![Vec::new(); usize::from(scenario.zones)]),
-            origin,
+            origin_address,
             kind_names: scenario
                 .kinds
                 .iter()
@@ -132,33 +136,37 @@
         lock_ignoring_poison(&self.state)
     }
 
-    /// Adds the address of the next cache server, by number, for the nodes of a zone.
+    /// Adds the address at which the nodes of a zone reach a cache server. Must be called for the servers in the order
+    /// of their numbers.
     pub fn add_server_address(&self, zone: Zone, address: SocketAddr) {
         lock_ignoring_poison(&self.server_addresses)[usize::from(zone)].push(address);
     }
 
-    /// Wakes [`run_due_work`], because work may be due earlier than before.
+    /// Makes [`run_due_work`] check again when work is due. Must be called after a change that may make work due
+    /// earlier.
     pub fn notify_due_changed(&self) {
         self.due_changed.notify_one();
     }
 
-    /// Steps the wall clock of the discovery service. Servers that start from now on are listed with the stepped time.
-    pub fn step_discovery_clock(&self, at: Micros, by: i64) {
-        lock_ignoring_poison(&self.discovery_clock_steps).push(ClockStep { at, by });
+    /// Steps the wall clock of the discovery service. Servers that start at `at` or later are listed with a start time
+    /// by the stepped clock.
+    pub fn step_discovery_clock(&self, at: Micros, offset: i64) {
+        lock_ignoring_poison(&self.discovery_clock_steps).push(ClockStep { at, offset });
     }
 
-    /// Converts a time to the discovery service's wall clock. 0 means long ago, and stays 0.
+    /// Converts the start time of a server to the discovery service's wall clock. A start time of 0 means long ago, and
+    /// stays 0.
     fn discovery_time(&self, at: Micros) -> Micros {
         if at == 0 {
             return 0;
         }
         let steps = lock_ignoring_poison(&self.discovery_clock_steps);
-        let offset = steps.iter().filter(|step| step.at <= at);
-        at.saturating_add_signed(offset.map(|step| step.by).sum())
+        let past_steps = steps.iter().filter(|step| step.at <= at);
+        at.saturating_add_signed(past_steps.map(|step| step.offset).sum())
     }
 
-    /// Starts a node's process: returns the endpoint list that it holds from the beginning, in the protocol's JSON
-    /// form.
+    /// Records that a node's process starts, and returns the endpoint list that it holds from the beginning, in the
+    /// protocol's JSON form.
     pub fn begin_node(&self, node: NodeId, zone: Zone) -> Value {
         let now = self.now();
         let held = self.state().begin_node(now, node);
@@ -172,32 +180,32 @@
         )
     }
 
-    /// Returns an endpoint list, or a change to it, in the protocol's JSON form, with the addresses for the nodes of a
-    /// zone.
+    /// Returns an endpoint list, or a change to it, in the protocol's JSON form, with the addresses at which the nodes
+    /// of a zone reach the servers.
     pub fn endpoint_list_json(&self, zone: Zone, message: EndpointListMessage<'_>) -> Value {
         let state = self.state();
         let addresses = lock_ignoring_poison(&self.server_addresses);
-        let endpoint = |record: &EndpointRecord| {
-            let server = state.server_placement(record.server)?;
+        let endpoint_json = |record: &EndpointRecord| {
+            let placement = state.server_placement(record.server)?;
             let address = addresses
                 .get(usize::from(zone))?
                 .get(address_index(record.server))?;
             Some(json!({
                 "name": server_name(record.server),
                 "address": address,
-                "zone": format!("z{}", server.zone),
-                "type": self.kind_names[server.kind],
+                "zone": format!("z{}", placement.zone),
+                "type": self.kind_names[placement.kind],
                 "group": 1,
                 "status": status_name(record.condition),
                 "weight": 1.0,
                 "since_ms": self.discovery_time(record.started) / 1_000,
             }))
         };
-        let mut endpoints: Vec<Value> = message.records.iter().filter_map(endpoint).collect();
+        let mut endpoints: Vec<Value> = message.records.iter().filter_map(endpoint_json).collect();
         if message.complete {
             endpoints.push(json!({
                 "name": "origin",
-                "address": self.origin,
+                "address": self.origin_address,
                 "zone": format!("z{zone}"),
                 "type": "origin",
                 "group": 1,
@@ -210,7 +218,7 @@
     }
 }
 
-/// Index of a cache server's address in its zone. Servers are numbered from 1.
+/// Index of a cache server in the addresses for each zone. Servers are numbered from 1.
 fn address_index(server: ServerNumber) -> usize {
     server as usize - 1
 }
@@ -223,7 +231,8 @@
     }
 }
 
-/// Records indefinitely that the testbed is running. The run's driver owns this task and ends it.
+/// Records at a fixed interval that the testbed is running, so that stalls of the testbed are detected. Never returns:
+/// the owner of the task ends it.
 pub async fn send_heartbeats(shared: Arc<SharedCluster>) {
     let interval = Duration::from_micros(HEARTBEAT_INTERVAL);
     loop {
@@ -233,7 +242,8 @@
     }
 }
 
-/// Performs the cluster's due work indefinitely. The run's driver owns this task and ends it.
+/// Performs the work of the cluster's servers, origin and discovery service when it is due. Never returns: the owner of
+/// the task ends it.
 pub async fn run_due_work(shared: Arc<SharedCluster>) {
     loop {
         let due = shared.state().next_due();
