--- a/crates/cache-router/tests/router_process/requests.rs
+++ b/crates/cache-router/tests/router_process/requests.rs
@@ -8,15 +8,15 @@
     write,
 };
 
-/// The remaining time in milliseconds that a request to a server states in its fields.
-fn stated_deadline_ms(fields: &str) -> u64 {
-    let (others, deadline) = fields.split_once("d=").unwrap();
+/// The remaining deadline, in milliseconds, in the fields of a request to a server.
+fn remaining_deadline_ms(fields: &str) -> u64 {
+    let (others, deadline_ms) = fields.split_once("d=").unwrap();
     assert_eq!(others, "c=read,t=acme,");
-    deadline.parse().unwrap()
+    deadline_ms.parse().unwrap()
 }
 
 /// The fields of a request to the origin.
-fn fields_header(parts: &[String]) -> &str {
+fn origin_request_fields(parts: &[String]) -> &str {
     parts
         .iter()
         .find_map(|header| header.strip_prefix("X-Facts: "))
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn hits_misses_and_writes_are_served_and_fields_other_than_the_deadline_forwarded_unchanged() {
+fn hits_misses_and_writes_are_served_and_all_fields_but_the_deadline_are_forwarded_unchanged() {
     let cache = cache_server(|parts| {
         Behaviour::Respond(if parts[1] == "aa" {
             hit("kept")
@@ -37,20 +37,20 @@
     let mut client = cluster.client();
     assert!(client.is_router_ready());
     assert_eq!(client.execute(&read("aa", "1d")).unwrap(), "kept");
-    let looked_up = cluster.cache.next_request().parts;
-    assert_eq!(looked_up[..3], ["OBJ.GET", "aa", "1d"]);
-    let deadline = stated_deadline_ms(&looked_up[3]);
-    assert!((1..=8000).contains(&deadline), "{deadline}");
+    let cache_request = cluster.cache.next_request().parts;
+    assert_eq!(cache_request[..3], ["OBJ.GET", "aa", "1d"]);
+    let deadline_ms = remaining_deadline_ms(&cache_request[3]);
+    assert!((1..=8000).contains(&deadline_ms), "{deadline_ms}");
     assert_eq!(client.execute(&read("bb", "2d")).unwrap(), "made");
-    let fetched = cluster.origin.next_request().parts;
-    assert_eq!(fetched[0], "GET /bb HTTP/1.1");
-    assert!(fetched.contains(&"X-Correlation-Id: 2d".to_string()));
-    let deadline = stated_deadline_ms(fields_header(&fetched));
-    assert!((1..=8000).contains(&deadline), "{deadline}");
+    let fetch_request = cluster.origin.next_request().parts;
+    assert_eq!(fetch_request[0], "GET /bb HTTP/1.1");
+    assert!(fetch_request.contains(&"X-Correlation-Id: 2d".to_string()));
+    let deadline_ms = remaining_deadline_ms(origin_request_fields(&fetch_request));
+    assert!((1..=8000).contains(&deadline_ms), "{deadline_ms}");
     assert_eq!(client.execute(&write("cc", "3d", "new")).unwrap(), "made");
-    let written = cluster.origin.next_request().parts;
-    assert_eq!(written.first().unwrap(), "PUT /cc HTTP/1.1");
-    assert_eq!(written.last().unwrap(), "new");
+    let write_request = cluster.origin.next_request().parts;
+    assert_eq!(write_request.first().unwrap(), "PUT /cc HTTP/1.1");
+    assert_eq!(write_request.last().unwrap(), "new");
 }
 
 #[test]
@@ -62,21 +62,22 @@
     let mut client = cluster.client();
     client.send(&read("aa", "1"));
     cluster.cache.next_request();
-    // The remaining time of the second attempt must not include the time since the first attempt. The test measures
-    // that time from a moment at which the router has certainly received the request.
-    let first_attempt_at = Instant::now();
-    while first_attempt_at.elapsed() < Duration::from_millis(300) {
+    // The remaining deadline of the second attempt must be shorter by the time since the router received the request.
+    // The test measures this time from the arrival of the first attempt, by which the router has certainly received
+    // the request.
+    let first_attempt_seen_at = Instant::now();
+    while first_attempt_seen_at.elapsed() < Duration::from_millis(300) {
         std::thread::yield_now();
     }
     open.send(()).unwrap();
-    let fetched = cluster.origin.next_request().parts;
-    let deadline = stated_deadline_ms(fields_header(&fetched));
-    assert!((1..=7_700).contains(&deadline), "{deadline}");
+    let fetch_request = cluster.origin.next_request().parts;
+    let deadline_ms = remaining_deadline_ms(origin_request_fields(&fetch_request));
+    assert!((1..=7_700).contains(&deadline_ms), "{deadline_ms}");
     assert_eq!(client.reply().unwrap(), "made");
 }
 
 #[test]
-fn pipelined_commands_get_replies_in_order_and_a_slow_one_delays_no_other_server_request() {
+fn pipelined_commands_get_replies_in_order_and_a_slow_response_delays_no_other_request() {
     let (open, gate) = Gate::new();
     let cache = cache_server(move |parts| match parts[1].as_str() {
         "ee" => gate.respond(hit("slow")),
@@ -91,8 +92,9 @@
         read("f2", "3"),
     ]
     .concat();
-    for part in pipeline.chunks(7) {
-        client.send(part);
+    // Pieces of 7 bytes split the commands at arbitrary places.
+    for piece in pipeline.chunks(7) {
+        client.send(piece);
     }
     let next_key = || cluster.cache.next_request().parts[1].clone();
     let mut keys = [next_key(), next_key(), next_key()];
@@ -102,8 +104,8 @@
         ["ee", "f1", "f2"],
         "no request waits for the slow response"
     );
-    let other_client = cluster.client().execute(&read("f3", "4")).unwrap();
-    assert_eq!(other_client, "f3", "another client does not wait either");
+    let other_reply = cluster.client().execute(&read("f3", "4")).unwrap();
+    assert_eq!(other_reply, "f3", "another client does not wait either");
     open.send(()).unwrap();
     for expected in ["slow", "f1", "+PONG", "f2"] {
         assert_eq!(client.reply().unwrap(), expected);
@@ -111,7 +113,7 @@
 }
 
 #[test]
-fn malformed_input_gets_an_error_and_a_close_and_affects_no_other_client() {
+fn malformed_input_gets_an_error_and_closes_its_connection_and_affects_no_other_client() {
     let cluster = Cluster::with_cache(cache_server(|parts| Behaviour::Respond(hit(&parts[1]))));
     let mut other = cluster.client();
     for malformed in [
@@ -159,7 +161,8 @@
         (0..200).try_for_each(|id| output.write_all(&read("aa", &id.to_string())))
     });
     let mut other = cluster.client();
-    // The policy may reject requests while it considers the only server full. A stalled router would not reply at all.
+    // The policy may reject requests while it considers the only server overloaded. A stalled router would not reply
+    // at all.
     let served = (0..100_000)
         .filter(|id| other.execute(&read("bb", &id.to_string())).unwrap().len() == 60_000);
     assert_eq!(served.take(5).count(), 5);
--- a/crates/routing-policy/src/policy/origin_limiter.rs
+++ b/crates/routing-policy/src/policy/origin_limiter.rs
@@ -1,5 +1,5 @@
-//! Limits on calls to the origin: a cap on outstanding calls, a count per window of time, and deferral of calls
-//! at capacity.
+//! Limits on calls to the origin: a cap on outstanding calls and a limit on the calls in each time window. Calls
+//! over a limit are deferred.
 
 use super::{MIN_REVIEWED_OBSERVATIONS, Policy, REVIEW_DECAY_FACTOR};
 use crate::interface::{Action, AttemptStatus, Micros, RequestId, Settings};
@@ -9,17 +9,19 @@
     Timer,
 };
 
-/// The most outstanding calls of one router. A router starts with half of them.
+/// The highest cap on the outstanding calls of one router. The cap is half of this at the start.
 const MAX_OUTSTANDING_CALLS: f64 = 20.0;
-/// Up to this many routers may each use the full limits on outstanding calls and call rate. More routers share
-/// the total that these have, since the origin bears the sum. The number is not lower because a router limited
-/// to one or two calls at a time would often find no room through random variation alone.
+/// Up to this many routers may each use the full limits on outstanding calls and call rate. If there are more,
+/// they share the total limits of this many routers, since the origin gets the calls of all routers. A lower
+/// number could limit a router to one or two calls at a time. Random variation alone would then often leave it
+/// without room.
 const ROUTERS_AT_FULL_LIMIT: f64 = 15.0;
-/// Calls per second that a router may make, even if its request rate is lower.
+/// Calls per second that a router with the full limits may make, even if its request rate is lower.
 const MIN_CALLS_PER_S: f64 = 30.0;
-/// Length of the counting window, as a fraction of the longest latency objective. It is short enough that calls
-/// over its limit can still wait for the next window. It is longer for a router with a small share of the
-/// limits, which random variation would exceed in a short window.
+/// Length of the counting window for a router with the full limits, as a fraction of the longest latency
+/// objective. The window is short enough that a call over the limit can still wait for the next window. A router
+/// with a small share of the limits has a longer window, because random variation would exceed a small limit in a
+/// short one.
 const WINDOW_FRACTION: f64 = 0.25;
 /// The longest counting window, in microseconds.
 const MAX_WINDOW_US: f64 = 1e6;
@@ -27,7 +29,7 @@
 const FETCH_FRACTION: f64 = 0.7;
 /// Factor applied to the cap at a congestion signal.
 const CAP_CUT_FACTOR: f64 = 0.8;
-/// The lowest cap, as a fraction of this router's equal share of the outstanding calls.
+/// The lowest cap, as a fraction of this router's equal share of `MAX_OUTSTANDING_CALLS`.
 const CAP_FLOOR_FRACTION: f64 = 0.1;
 /// The log reports when the cap crosses this fraction of its maximum.
 const LOGGED_CAP_FRACTION: f64 = 0.25;
@@ -37,81 +39,87 @@
 const CONGESTED_FRACTION: f64 = 0.05;
 /// Weight of a new answer in the smoothed fetch time.
 const FETCH_TIME_WEIGHT: f64 = 0.1;
-/// Factor applied to the smoothed fetch time whenever a fetch is skipped because of it, since the origin may
-/// have become faster.
+/// Factor applied to the smoothed fetch time whenever a fetch is skipped as too late. The origin may have become
+/// faster, and a skipped fetch does not measure its time.
 const FETCH_TIME_DECAY: f64 = 0.98;
-/// The shortest deferral, as a fraction of the latency objective: 1 s of 60 s.
+/// The shortest deferral, as a fraction of the latency objective: 1 s for an objective of 60 s.
 const SHORTEST_DEFERRAL_FRACTION: f64 = 1.0 / 60.0;
-/// The longest deferral, as a fraction of the latency objective: 3 s of 60 s. A random delay between the two
-/// limits keeps deferred calls from being retried together.
+/// The longest deferral, as a fraction of the latency objective: 3 s for an objective of 60 s. A random delay
+/// between the shortest and the longest keeps deferred calls from being retried together.
 const LONGEST_DEFERRAL_FRACTION: f64 = 3.0 / 60.0;
 
 /// The limits on this router's calls to the origin.
 #[derive(Default)]
 pub(super) struct OriginLimiter {
+    /// The present limit on outstanding calls.
     cap: f64,
     calls: OriginCalls,
-    cut_at: Micros,
+    /// When the cap was last cut.
+    cap_cut_at: Micros,
     fetch_time: SmoothedTime,
     fetches_paused_until: Micros,
     /// The fraction of recent calls that found no room.
-    at_capacity: DecayingRatio,
+    no_room_ratio: DecayingRatio,
     /// This router's equal share of the limits; 1 is the full limits.
     equal_share: f64,
-    window: f64,
-    slow_after: f64,
+    /// Length of the counting window.
+    window_us: f64,
+    /// An answer that takes longer than this is a congestion signal.
+    slow_after_us: f64,
 }
 
 impl OriginLimiter {
     pub(super) fn new(settings: &Settings) -> Self {
         let equal_share = (ROUTERS_AT_FULL_LIMIT / settings.router_count()).min(1.0);
-        let window = settings.longest_objective() as f64 * WINDOW_FRACTION / equal_share;
+        let window_us = settings.longest_objective() as f64 * WINDOW_FRACTION / equal_share;
         OriginLimiter {
             // Calls from before a restart of this router may still be running, so the cap rises gradually.
             cap: MAX_OUTSTANDING_CALLS / 2.0 * equal_share,
             equal_share,
-            window: window.min(MAX_WINDOW_US),
-            slow_after: settings.shortest_objective() as f64 * SLOW_ANSWER_FRACTION,
+            window_us: window_us.min(MAX_WINDOW_US),
+            slow_after_us: settings.shortest_objective() as f64 * SLOW_ANSWER_FRACTION,
             ..OriginLimiter::default()
         }
     }
 
     /// Congestion of the origin, from 0 to 1.
     pub(super) fn congestion(&self) -> f64 {
-        (self.at_capacity.value() / CONGESTED_FRACTION).min(1.0)
+        (self.no_room_ratio.value() / CONGESTED_FRACTION).min(1.0)
     }
 
-    /// Whether the origin is congested and a fetch would be answered too late. Such a fetch takes the place of
-    /// one that can be in time. Its work is wasted: what the client has given up is not stored in the cache
-    /// either.
+    /// Whether the origin is congested and a fetch would be answered too late. Such a fetch would take the place
+    /// of one that can be in time. Its work would be wasted, since the answer to a request that the client has
+    /// given up is not stored in the cache either.
     fn is_too_late(&self, now: Micros, useful_until: Micros) -> bool {
         let in_time = now as f64 + self.fetch_time.get() < useful_until as f64;
-        self.at_capacity.value() > CONGESTED_FRACTION && !in_time
+        self.no_room_ratio.value() > CONGESTED_FRACTION && !in_time
     }
 
-    /// This router's share of the limits: an equal share, or what its own request rate needs by Little's law if
-    /// that is more. With equal shares, a router with more clients than others would reject calls for which the
-    /// origin has capacity.
+    /// This router's share of the limits: its equal share or, if that is more, the share that its own request rate
+    /// needs by Little's law. With equal shares alone, a router with more clients than others would reject calls
+    /// for which the origin has capacity.
     fn share(&self, long_term_rate: f64) -> f64 {
-        let needed = long_term_rate * (self.slow_after / 1e6) / MAX_OUTSTANDING_CALLS;
+        let needed = long_term_rate * (self.slow_after_us / 1e6) / MAX_OUTSTANDING_CALLS;
         self.equal_share.max(needed.min(1.0))
     }
 
-    /// Whether the cap on outstanding calls and the limit of the window allow one more call.
-    fn has_room(&mut self, kind: AttemptKind, now: Micros, rate: f64) -> bool {
-        let max_calls = rate.max(MIN_CALLS_PER_S * self.equal_share) * self.window / 1e6;
-        let window_counts = self.calls.sent_in_window(now, self.window as Micros);
-        let is_within_window = window_counts.has_room(max_calls.max(1.0));
+    /// Whether the cap on outstanding calls and the limit of the window allow one more call. Counts the result
+    /// as an observation of congestion.
+    fn has_room(&mut self, kind: AttemptKind, now: Micros, requests_per_s: f64) -> bool {
+        let window_limit =
+            requests_per_s.max(MIN_CALLS_PER_S * self.equal_share) * self.window_us / 1e6;
+        let window_counts = self.calls.sent_in_window(now, self.window_us as Micros);
+        let is_within_window = window_counts.has_room(window_limit.max(1.0));
         let is_fetch_within_window =
-            window_counts.has_fetch_room((max_calls * FETCH_FRACTION).max(1.0));
+            window_counts.has_fetch_room((window_limit * FETCH_FRACTION).max(1.0));
         let outstanding = self.calls.outstanding();
         let is_within_cap = outstanding.has_room(self.cap.max(1.0));
         let fetch_cap = (self.cap * FETCH_FRACTION).max(1.0);
         let is_fetch_within_cap = is_within_cap && outstanding.has_fetch_room(fetch_cap);
         let has_room = is_within_window
             && match kind {
-                // Where the limits allow less than one call per router, a write does not wait for this router's
-                // fetches.
+                // A write does not wait for outstanding fetches of this router, since the limits may allow less
+                // than one call per router.
                 AttemptKind::OriginWrite => is_within_cap || outstanding.has_only_fetches(),
                 _ => {
                     is_fetch_within_cap
@@ -119,7 +127,7 @@
                         && now >= self.fetches_paused_until
                 }
             };
-        self.at_capacity.add(f64::from(u8::from(!has_room)), 1.0);
+        self.no_room_ratio.add(f64::from(u8::from(!has_room)), 1.0);
         has_room
     }
 
@@ -129,10 +137,11 @@
 
     fn end_call(&mut self, attempt: &Attempt, status: AttemptStatus, now: Micros, jitter: f64) {
         self.calls.record_ended(attempt.kind);
-        // A cap below one call is enforced by a pause in fetches after each call.
-        let pause = (1.0 / (self.cap * FETCH_FRACTION) - 1.0).max(0.0) * jitter;
+        // A fetch cap below one call is enforced by a pause in fetches after each call, in proportion to the time
+        // that the call took.
+        let pause_ratio = (1.0 / (self.cap * FETCH_FRACTION) - 1.0).max(0.0) * jitter;
         let elapsed = attempt.elapsed(now) as f64;
-        self.fetches_paused_until = now + (pause * elapsed) as Micros;
+        self.fetches_paused_until = now + (pause_ratio * elapsed) as Micros;
         if status == AttemptStatus::Served && attempt.kind == AttemptKind::OriginFetch {
             self.fetch_time.record(elapsed, FETCH_TIME_WEIGHT);
         }
@@ -140,26 +149,29 @@
 
     /// A slow, failing or rejecting origin lowers the cap; timely answers raise it.
     fn adjust_cap(&mut self, attempt: &Attempt, status: AttemptStatus, now: Micros, share: f64) {
-        let is_slow = attempt.elapsed(now) > self.slow_after as Micros;
+        let is_slow = attempt.elapsed(now) > self.slow_after_us as Micros;
         if status == AttemptStatus::Served && !is_slow {
             let raised = self.cap + (share / self.cap).min(self.cap);
             self.cap = raised.min(MAX_OUTSTANDING_CALLS * share);
-        } else if status != AttemptStatus::NotSent && attempt.sent_at >= self.cut_at {
-            // The cap is cut once for all calls that were outstanding together.
-            self.cut_at = now;
+        } else if status != AttemptStatus::NotSent && attempt.sent_at >= self.cap_cut_at {
+            // Calls that were outstanding together cut the cap only once. A call sent before the last cut does
+            // not cut it again.
+            self.cap_cut_at = now;
             let floor = MAX_OUTSTANDING_CALLS * self.equal_share * CAP_FLOOR_FRACTION;
             self.cap = (self.cap * CAP_CUT_FACTOR).max(floor);
         }
     }
 
+    /// Gives earlier observations of congestion less weight at the periodic review.
     pub(super) fn review(&mut self) {
-        self.at_capacity
+        self.no_room_ratio
             .decay(REVIEW_DECAY_FACTOR, MIN_REVIEWED_OBSERVATIONS);
     }
 }
 
 impl Policy {
-    /// Calls the origin for a write or a missed read, or defers the call.
+    /// Calls the origin for a write, or for a read that missed in the cache. Defers the call if a limit forbids
+    /// it, and skips a fetch that would be too late.
     pub(super) fn call_origin(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -170,7 +182,7 @@
             limiter.fetch_time.scale(FETCH_TIME_DECAY);
             return self.end_unless_in_flight(id);
         }
-        // Cache servers that fetch for themselves also take writes.
+        // Without an origin in the endpoint list, cache servers fetch for themselves and also take writes.
         let target = match self.settings.origin_kind {
             Some(_) => self.fleet.ready_origin(),
             None => self.pick(id),
@@ -201,7 +213,8 @@
         self.actions.extend(crossing.map(Action::Log));
     }
 
-    /// Retries a call after a random delay, as long as its answer can still be useful then.
+    /// Retries a call after a random delay. If an answer would no longer be useful then, ends the request unless
+    /// it has an attempt in flight.
     pub(super) fn defer(&mut self, id: RequestId, class: usize) {
         let retry_at = self.now + self.deferral(class);
         match self.requests.get_mut(&id) {
@@ -213,7 +226,7 @@
         }
     }
 
-    /// The random delay of a deferred call.
+    /// Draws the random delay of a deferred call.
     pub(super) fn deferral(&mut self, class: usize) -> Micros {
         let objective = self.settings.classes[class].latency_objective as f64;
         let range = LONGEST_DEFERRAL_FRACTION - SHORTEST_DEFERRAL_FRACTION;
--- a/crates/routing-policy/src/policy/slow_start.rs
+++ b/crates/routing-policy/src/policy/slow_start.rs
@@ -4,25 +4,27 @@
 use crate::interface::{Key, ServerId};
 use crate::state::{BurstAllowance, HashPurpose, InFlightRequest, LeakyBucket, Server, unit_hash};
 
-/// A server in slow start gets at most this fraction of the load at which it collapses. That load is
-/// proportional to the fraction of its capacity that it has reached. The present load of a warm server counts
-/// as full capacity, although a warm server may be able to take more.
+/// A server in slow start gets at most this fraction of the load at which it collapses. The collapse load is
+/// the overload multiple times the server's present capacity. The present load of a warm server counts as full
+/// capacity. This is a low estimate, since a warm server may be able to take more.
 const SAFE_LOAD_FRACTION: f64 = 0.8;
-/// Margin, in standard deviations, between the mean number of attempts in an overload window and the number
-/// that is safe. Each router counts only its own attempts. Their sum over all routers varies like a Poisson
-/// count, whose standard deviation is the square root of its mean, and the worst of many windows is three
-/// standard deviations above the mean.
+/// The mean number of attempts at a server in an overload window is this many standard deviations below the
+/// safe number. Each router counts only its own attempts. Their sum over all routers varies like a Poisson
+/// count, whose standard deviation is the square root of its mean. In the worst of many windows, the sum is
+/// three standard deviations above the mean.
 const MARGIN_STD_DEVS: f64 = 3.0;
-/// A server may get as many attempts at once as it takes within this fraction of the overload window.
+/// A router may send a server a burst of as many attempts as its permitted rate gives in this fraction of the
+/// overload window.
 const BURST_WINDOW_FRACTION: f64 = 0.5;
-/// A key is hot if it occurs at least twice among this many latest requests.
+/// A key is hot if at least two of this many most recent requests are for it.
 pub(super) const HOT_KEY_WINDOW_REQUESTS: usize = 64;
 
 impl Policy {
-    /// Whether slow start lets a server take a request. A server that is warming up gets a growing fraction of
-    /// its keys, the same keys from every router, and from each router no more than a fraction of what a warm
-    /// server gets. It gets first attempts only: in an overload, the requests that warm servers reject move on
-    /// along the key order at all routers at once, and would overload it.
+    /// Whether slow start allows a request to be sent to a server. A server that is warming up gets a growing
+    /// fraction of its keys, and every router chooses the same keys. Each router also limits its attempts at the
+    /// server, in proportion to what it sends to a warm server. The server gets only first attempts. In an
+    /// overload, warm servers reject requests, and all routers at once retry these at the next server in the key
+    /// order. Such retries would overload a server that is warming up.
     pub(super) fn is_allowed_by_slow_start(
         &self,
         key: Key,
@@ -33,25 +35,27 @@
         if capacity_fraction >= 1.0 {
             return true;
         }
-        let key_share =
+        let allowed_key_fraction =
             self.safe_load(capacity_fraction) * self.capacity(server) / self.fleet.mean_capacity;
-        // A hot key would come from all routers at once, within the burst that each of them may send.
+        // Requests for a hot key arrive at all routers at once. Each router would stay within its own burst
+        // allowance, but the server would get the sum of these bursts.
         request.attempts_sent == 0
-            && unit_hash(key, server.endpoint.id, HashPurpose::SlowStart) < key_share
+            && unit_hash(key, server.endpoint.id, HashPurpose::SlowStart) < allowed_key_fraction
             && self.burst_allowance(server).has_room()
             && !self.recent_keys.is_repeated(key)
     }
 
-    /// Fraction of its capacity that a server has at least, at its present age.
+    /// Lower bound on the fraction of its capacity that a server has reached. It grows linearly during the
+    /// warm-up period.
     fn capacity_fraction(&self, server: &Server) -> f64 {
         let started = server.endpoint.started;
         if started == 0 {
             return 1.0;
         }
-        let period = self.settings.warm_up_period.max(1);
-        let age = self.now.saturating_sub(started) as f64 / period as f64;
-        let share = self.settings.cold_capacity_share;
-        (share + (1.0 - share) * age).min(1.0)
+        let warm_up_period = self.settings.warm_up_period.max(1);
+        let relative_age = self.now.saturating_sub(started) as f64 / warm_up_period as f64;
+        let cold_share = self.settings.cold_capacity_share;
+        (cold_share + (1.0 - cold_share) * relative_age).min(1.0)
     }
 
     /// Load that a server with this fraction of its capacity can safely take, as a multiple of a warm server's
@@ -60,36 +64,42 @@
         SAFE_LOAD_FRACTION * self.settings.overload_multiple * capacity_fraction
     }
 
-    /// The recent attempts at a server, in a leaky bucket that leaks at the rate the server can take, and the
-    /// number it takes at once.
+    /// This router's recent attempts at a server, and the highest number of them that is allowed. Attempts leak
+    /// from the server's bucket at the rate that this router may send to it.
     fn burst_allowance(&self, server: &Server) -> BurstAllowance {
-        let max_rate = self.safe_load(self.capacity_fraction(server))
+        let safe_rate_per_us = self.safe_load(self.capacity_fraction(server))
             * self.warm_server_requests_per_s(server)
             / 1e6;
         let window = self.settings.overload_window as f64;
         let router_count = self.settings.router_count();
-        // The mean m for which the margin just fits: m + C * sqrt(m) = max_attempts, with C the margin in
-        // standard deviations. C is 0 for a single router, which counts all attempts.
-        let max_attempts = max_rate * window * router_count;
+        // Solves m + C * sqrt(m) = safe_attempts, where m is the mean number of attempts of all routers in an
+        // overload window and C is the margin in standard deviations. C is 0 for a single router, which counts
+        // all attempts.
+        let safe_attempts = safe_rate_per_us * window * router_count;
         let margin = MARGIN_STD_DEVS * (1.0 - 1.0 / router_count);
-        let sqrt_mean = ((margin * margin + 4.0 * max_attempts).sqrt() - margin) / 2.0;
-        // A window contains this router's burst in addition to what leaks within it, hence the divisor. The
-        // margin covers the bursts of other routers that fall into the same window.
-        let mean_rate = max_rate * sqrt_mean * sqrt_mean
-            / max_attempts
+        let sqrt_mean = ((margin * margin + 4.0 * safe_attempts).sqrt() - margin) / 2.0;
+        // Within one window, this router may send a burst in addition to the attempts that leak from the bucket.
+        // The divisor 1.0 + ... allows for this burst. The margin covers the bursts of other routers in the same
+        // window.
+        let mean_rate_per_us = safe_rate_per_us * sqrt_mean * sqrt_mean
+            / safe_attempts
             / (1.0 + BURST_WINDOW_FRACTION / router_count);
-        let rate = if max_attempts > 0.0 { mean_rate } else { 0.0 };
+        let rate_per_us = if safe_attempts > 0.0 {
+            mean_rate_per_us
+        } else {
+            0.0
+        };
         BurstAllowance {
-            attempts: server.slow_start_bucket.level(self.now, rate),
-            depth: (rate * window * BURST_WINDOW_FRACTION).max(1.0),
+            attempts: server.slow_start_bucket.level(self.now, rate_per_us),
+            depth: (rate_per_us * window * BURST_WINDOW_FRACTION).max(1.0),
         }
     }
 
     /// Requests per second that this router sends to a warm server like this one: the lower of two estimates.
-    /// The first is the server's capacity share of this router's long-term request rate, since client retries
-    /// inflate the current rate. The second is the rate at which warm servers of its kind answer. Only the
-    /// second shows an overload, in which the key shares of all kinds are cut and the request rate is more than
-    /// any server can take.
+    /// The first is this router's request rate times the server's fraction of the total capacity. It uses the
+    /// long-term rate, since client retries inflate the current rate. The second is the rate at which a warm
+    /// server of the same kind answers. Only the second shows an overload. The first does not, because the key
+    /// shares of all kinds are cut, and because the request rate is more than any server can take.
     fn warm_server_requests_per_s(&self, server: &Server) -> f64 {
         let long_term_rate = self.own_rate(self.request_rate.admitted_long_term());
         let expected_rate = long_term_rate * self.capacity(server) / self.fleet.total_capacity;
@@ -111,9 +121,9 @@
         }
     }
 
-    /// A server that has just started begins with its burst allowance used up, and the first attempt is allowed
-    /// after a random part of the interval between two attempts. One attempt at once from each of many routers
-    /// would overload it.
+    /// Begins the slow start of a server that has just started. Its burst allowance is used up at first, so the
+    /// first attempt is allowed only after a random fraction of the interval between two attempts. Otherwise
+    /// each of many routers could send an attempt at once, which would overload the server.
     pub(super) fn begin_slow_start(&mut self, id: ServerId) {
         let random_level = self.random.unit();
         let attempts = self
