--- a/crates/routing-policy/src/policy.rs
+++ b/crates/routing-policy/src/policy.rs
@@ -26,7 +26,7 @@
 /// Factor by which a review decays earlier counts.
 const REVIEW_DECAY_FACTOR: f64 = 0.85;
 /// Counts with no more observations than this are not decayed further: fewer would not be enough to judge by.
-const MIN_REVIEWED_OBSERVATIONS: f64 = 10.0;
+const MIN_OBSERVATIONS_FOR_DECAY: f64 = 10.0;
 
 impl Policy {
     /// Handles one event at a clock value and adds the resulting actions.
--- a/crates/routing-policy/src/policy/admission.rs
+++ b/crates/routing-policy/src/policy/admission.rs
@@ -94,7 +94,7 @@
 
     /// Requests per second for this router to serve: its share of all quotas, or the given rate of admitted
     /// requests if there are no quotas.
-    pub(super) fn own_rate(&self, admitted_per_s: f64) -> f64 {
+    pub(super) fn router_request_rate(&self, admitted_per_s: f64) -> f64 {
         let quota = self.request_rate.quota_share();
         if quota > 0.0 { quota } else { admitted_per_s }
     }
--- a/crates/routing-policy/src/policy/attempts.rs
+++ b/crates/routing-policy/src/policy/attempts.rs
@@ -46,7 +46,7 @@
         let slow_after = (objective as f64 * SLOW_FRACTION) as Micros;
         let attempt = Attempt::new(server, kind, self.now, objective, slow_after);
         let attempt_id = AttemptId::new(id, request.begin_attempt(server, self.now));
-        self.count_attempt(server);
+        self.record_sent_attempt(server);
         if attempt.is_cache_read() {
             self.fleet.cache_attempts_in_flight += 1;
             self.set_timer(attempt.slow_after, Timer::AttemptSlow(attempt_id));
@@ -126,7 +126,7 @@
             }
             self.retry_budget.withdraw(cost);
         }
-        self.proceed(id);
+        self.make_next_call(id);
     }
 
     /// What a retry costs the budget; `None` if the attempt cost its server no work. Retries of attempts that
--- a/crates/routing-policy/src/policy/origin_limiter.rs
+++ b/crates/routing-policy/src/policy/origin_limiter.rs
@@ -1,7 +1,7 @@
 //! Limits on calls to the origin: a cap on outstanding calls and a limit on the calls in each time window. Calls
 //! over a limit are deferred.
 
-use super::{MIN_REVIEWED_OBSERVATIONS, Policy, REVIEW_DECAY_FACTOR};
+use super::{MIN_OBSERVATIONS_FOR_DECAY, Policy, REVIEW_DECAY_FACTOR};
 use crate::interface::{Action, AttemptStatus, Micros, RequestId, Settings};
 use crate::log_event::LogEvent;
 use crate::state::{
@@ -90,8 +90,8 @@
     /// Whether the origin is congested and a fetch would be answered too late. Such a fetch would take the place
     /// of one that can be in time. Its work would be wasted, since the answer to a request that the client has
     /// given up is not stored in the cache either.
-    fn is_too_late(&self, now: Micros, useful_until: Micros) -> bool {
-        let in_time = now as f64 + self.fetch_time.get() < useful_until as f64;
+    fn is_too_late(&self, now: Micros, answer_useful_until: Micros) -> bool {
+        let in_time = now as f64 + self.fetch_time.get() < answer_useful_until as f64;
         self.no_room_ratio.value() > CONGESTED_FRACTION && !in_time
     }
 
@@ -165,7 +165,7 @@
     /// Gives earlier observations of congestion less weight at the periodic review.
     pub(super) fn review(&mut self) {
         self.no_room_ratio
-            .decay(REVIEW_DECAY_FACTOR, MIN_REVIEWED_OBSERVATIONS);
+            .decay(REVIEW_DECAY_FACTOR, MIN_OBSERVATIONS_FOR_DECAY);
     }
 }
 
@@ -177,10 +177,11 @@
             return;
         };
         let (class, kind) = (request.class, request.origin_attempt_kind());
-        let (limiter, useful_until) = (&mut self.origin_limiter, request.useful_until);
-        if kind == AttemptKind::OriginFetch && limiter.is_too_late(self.now, useful_until) {
+        let (limiter, answer_useful_until) =
+            (&mut self.origin_limiter, request.answer_useful_until);
+        if kind == AttemptKind::OriginFetch && limiter.is_too_late(self.now, answer_useful_until) {
             limiter.fetch_time.scale(FETCH_TIME_DECAY);
-            return self.end_unless_in_flight(id);
+            return self.end_if_no_attempt_in_flight(id);
         }
         // Without an origin in the endpoint list, cache servers fetch for themselves and also take writes.
         let target = match self.settings.origin_kind {
@@ -190,7 +191,7 @@
         let Some(target) = target else {
             return self.defer(id, class);
         };
-        let rate = self.own_rate(self.request_rate.admitted_short_term());
+        let rate = self.router_request_rate(self.request_rate.short_term_admitted_rate());
         if !self.origin_limiter.has_room(kind, self.now, rate) {
             self.defer(id, class);
         } else if !self.send(id, target, kind) {
@@ -200,7 +201,7 @@
 
     pub(super) fn on_origin_outcome(&mut self, attempt: &Attempt, status: AttemptStatus) {
         let jitter = 0.5 + self.random.unit();
-        let long_term_rate = self.own_rate(self.request_rate.admitted_long_term());
+        let long_term_rate = self.router_request_rate(self.request_rate.long_term_admitted_rate());
         let share = self.origin_limiter.share(long_term_rate);
         let limiter = &mut self.origin_limiter;
         let previous_cap = limiter.cap;
@@ -208,26 +209,26 @@
         limiter.adjust_cap(attempt, status, self.now, share);
         let threshold = MAX_OUTSTANDING_CALLS * share * LOGGED_CAP_FRACTION;
         let (lowered, restored) = (LogEvent::OriginLimitLowered, LogEvent::OriginLimitRestored);
-        let crossing =
-            ThresholdCrossing::new(previous_cap, limiter.cap, threshold).select(lowered, restored);
+        let crossing = ThresholdCrossing::new(previous_cap, limiter.cap, threshold)
+            .event_for_direction(lowered, restored);
         self.actions.extend(crossing.map(Action::Log));
     }
 
     /// Retries a call after a random delay. If an answer would no longer be useful then, ends the request unless
     /// it has an attempt in flight.
     pub(super) fn defer(&mut self, id: RequestId, class: usize) {
-        let retry_at = self.now + self.deferral(class);
+        let retry_at = self.now + self.random_deferral_delay(class);
         match self.requests.get_mut(&id) {
-            Some(request) if retry_at < request.useful_until => {
+            Some(request) if retry_at < request.answer_useful_until => {
                 let deferral = request.next_deferral(id);
                 self.timers.set(retry_at, Timer::Deferred(deferral));
             }
-            _ => self.end_unless_in_flight(id),
+            _ => self.end_if_no_attempt_in_flight(id),
         }
     }
 
     /// Draws the random delay of a deferred call.
-    pub(super) fn deferral(&mut self, class: usize) -> Micros {
+    pub(super) fn random_deferral_delay(&mut self, class: usize) -> Micros {
         let objective = self.settings.classes[class].latency_objective as f64;
         let range = LONGEST_DEFERRAL_FRACTION - SHORTEST_DEFERRAL_FRACTION;
         (objective * (SHORTEST_DEFERRAL_FRACTION + range * self.random.unit())) as Micros + 1
@@ -235,8 +236,8 @@
 
     pub(super) fn on_deferred(&mut self, deferral: Deferral) {
         let request = self.requests.get(&deferral.request);
-        if request.is_some_and(|request| request.deferral == deferral.number) {
-            self.proceed(deferral.request);
+        if request.is_some_and(|request| request.latest_deferral == deferral.sequence_number) {
+            self.make_next_call(deferral.request);
         }
     }
 }
--- a/crates/routing-policy/src/policy/overload.rs
+++ b/crates/routing-policy/src/policy/overload.rs
@@ -1,7 +1,7 @@
 //! Overload signals and the load that is shed for them: tenants over their quotas, and keys of overloaded
 //! servers.
 
-use super::{MIN_REVIEWED_OBSERVATIONS, Policy, REVIEW_DECAY_FACTOR};
+use super::{MIN_OBSERVATIONS_FOR_DECAY, Policy, REVIEW_DECAY_FACTOR};
 use crate::interface::{Action, Micros, ServerId};
 use crate::log_event::LogEvent;
 use crate::state::{DecayingRatio, KeyShare, ThresholdCrossing};
@@ -85,7 +85,7 @@
         );
         // Full steps in a collapse, which reinforces itself, and when few or no attempts are left to judge by.
         let is_urgent = collapsing || self.is_below_quotas() || (is_idle && signals <= 0.0);
-        let partial_step = (self.signals.since_decay() / FULL_STEP_ATTEMPTS).min(1.0);
+        let partial_step = (self.signals.observations_since_decay() / FULL_STEP_ATTEMPTS).min(1.0);
         let step = if is_urgent { 1.0 } else { partial_step };
         let before = self.quota_multiplier;
         let cut = before * MULTIPLIER_CUT_FACTOR.powf(step);
@@ -100,10 +100,10 @@
             grown.min(MAX_QUOTA_MULTIPLIER)
         };
         self.signals
-            .decay(REVIEW_DECAY_FACTOR, MIN_REVIEWED_OBSERVATIONS);
+            .decay(REVIEW_DECAY_FACTOR, MIN_OBSERVATIONS_FOR_DECAY);
         let (started, ended) = (LogEvent::LoadSheddingStarted, LogEvent::LoadSheddingEnded);
         let crossing = ThresholdCrossing::new(before, self.quota_multiplier, MAX_QUOTA_MULTIPLIER);
-        crossing.select(started, ended)
+        crossing.event_for_direction(started, ended)
     }
 }
 
--- a/crates/routing-policy/src/policy/requests.rs
+++ b/crates/routing-policy/src/policy/requests.rs
@@ -17,16 +17,16 @@
         let deadline_at = self.now + arrived.remaining_deadline.saturating_sub(margin);
         let class = &self.settings.classes[arrived.class];
         let objective_at = self.now + class.latency_objective.saturating_sub(since_first_request);
-        let is_useful_late = class.late_weight_fraction > 0.0;
+        let is_late_answer_useful = class.late_weight_fraction > 0.0;
         let late_from = objective_at.saturating_sub(margin).min(deadline_at);
-        let useful_until = if is_useful_late {
+        let answer_useful_until = if is_late_answer_useful {
             deadline_at
         } else {
             late_from
         };
         let mut request = InFlightRequest::new(arrived);
         request.deadline_at = deadline_at;
-        request.useful_until = useful_until;
+        request.answer_useful_until = answer_useful_until;
         self.retry_budget
             .deposit(BUDGETED_RETRIES_PER_REQUEST, MAX_BUDGETED_RETRIES);
         self.recent_keys.add(arrived.key, HOT_KEY_WINDOW_REQUESTS);
@@ -42,17 +42,18 @@
             self.request_rate.count();
         }
         self.timers.set(deadline_at, Timer::RequestDue(arrived.id));
-        self.timers.set(useful_until, Timer::RequestDue(arrived.id));
-        self.proceed(arrived.id);
+        self.timers
+            .set(answer_useful_until, Timer::RequestDue(arrived.id));
+        self.make_next_call(arrived.id);
     }
 
     /// Chooses and makes the next call of a request that has none in flight.
-    pub(super) fn proceed(&mut self, id: RequestId) {
+    pub(super) fn make_next_call(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
         let has_attempts_left = u32::from(request.attempts_sent) < self.settings.max_attempts;
-        if self.now >= request.useful_until || !has_attempts_left {
+        if self.now >= request.answer_useful_until || !has_attempts_left {
             return self.end(id);
         }
         if request.is_write || request.has_missed {
@@ -81,7 +82,7 @@
     }
 
     /// Ends a request that has no attempt to wait for.
-    pub(super) fn end_unless_in_flight(&mut self, id: RequestId) {
+    pub(super) fn end_if_no_attempt_in_flight(&mut self, id: RequestId) {
         let request = self.requests.get(&id);
         if request.is_some_and(|request| request.attempts_in_flight == 0) {
             self.end(id);
@@ -102,7 +103,9 @@
         let answer = if is_harmless {
             // The random delay of a deferred call. After a longer delay the client's retry would be too late,
             // and its answer would take the place of another.
-            let retry_after = self.deferral(class).min(self.settings.max_retry_after);
+            let retry_after = self
+                .random_deferral_delay(class)
+                .min(self.settings.max_retry_after);
             Action::Reject {
                 request: id,
                 retry_after,
--- a/crates/routing-policy/src/policy/selection.rs
+++ b/crates/routing-policy/src/policy/selection.rs
@@ -102,7 +102,7 @@
             key,
             request,
             max_weight: heaviest.map_or(f64::INFINITY, |server| policy.weight(server)),
-            remaining_time: request.useful_until.saturating_sub(policy.now) as f64,
+            remaining_time: request.answer_useful_until.saturating_sub(policy.now) as f64,
             bound_per_capacity: bound_factor * attempts / policy.fleet.total_capacity,
             min_bound: MIN_BOUND_ATTEMPTS / router_count,
         }
--- a/crates/routing-policy/src/policy/slow_start.rs
+++ b/crates/routing-policy/src/policy/slow_start.rs
@@ -101,16 +101,16 @@
     /// server of the same kind answers. Only the second shows an overload. The first does not, because the key
     /// shares of all kinds are cut, and because the request rate is more than any server can take.
     fn warm_server_requests_per_s(&self, server: &Server) -> f64 {
-        let long_term_rate = self.own_rate(self.request_rate.admitted_long_term());
+        let long_term_rate = self.router_request_rate(self.request_rate.long_term_admitted_rate());
         let expected_rate = long_term_rate * self.capacity(server) / self.fleet.total_capacity;
         let kind = self.fleet.machine_kind_of(server);
-        match kind.map(|kind| kind.answers_per_server.long_term()) {
+        match kind.map(|kind| kind.answer_rate_per_server.long_term()) {
             Some(answer_rate) if answer_rate > 0.0 => answer_rate.min(expected_rate),
             _ => expected_rate,
         }
     }
 
-    pub(super) fn count_attempt(&mut self, id: ServerId) {
+    pub(super) fn record_sent_attempt(&mut self, id: ServerId) {
         let attempts = self
             .fleet
             .get(id)
--- a/crates/routing-policy/src/state/crossing.rs
+++ b/crates/routing-policy/src/state/crossing.rs
@@ -15,12 +15,12 @@
         }
     }
 
-    /// Returns `fallen` if the value fell below the threshold, `risen` if it rose to or above it, and `None` if
+    /// Returns `on_fall` if the value fell below the threshold, `on_rise` if it rose to or above it, and `None` if
     /// it did not cross.
-    pub(crate) fn select<T>(&self, fallen: T, risen: T) -> Option<T> {
+    pub(crate) fn event_for_direction<T>(&self, on_fall: T, on_rise: T) -> Option<T> {
         if self.was_below == self.is_below {
             return None;
         }
-        Some(if self.is_below { fallen } else { risen })
+        Some(if self.is_below { on_fall } else { on_rise })
     }
 }
--- a/crates/routing-policy/src/state/decaying_ratio.rs
+++ b/crates/routing-policy/src/state/decaying_ratio.rs
@@ -5,7 +5,7 @@
 pub(crate) struct DecayingRatio {
     cases: f64,
     observations: f64,
-    since_decay: f64,
+    observations_since_decay: f64,
 }
 
 impl DecayingRatio {
@@ -13,7 +13,7 @@
     pub(crate) fn add(&mut self, cases: f64, observations: f64) {
         self.cases += cases;
         self.observations += observations;
-        self.since_decay += observations;
+        self.observations_since_decay += observations;
     }
 
     /// Cases per observation. Less than one observation counts as one.
@@ -22,8 +22,8 @@
     }
 
     /// Number of observations since the last decay.
-    pub(crate) fn since_decay(&self) -> f64 {
-        self.since_decay
+    pub(crate) fn observations_since_decay(&self) -> f64 {
+        self.observations_since_decay
     }
 
     /// Multiplies both counts by `keep` if there are more than `min_observations`; otherwise leaves them
@@ -36,6 +36,6 @@
         };
         self.cases *= keep;
         self.observations *= keep;
-        self.since_decay = 0.0;
+        self.observations_since_decay = 0.0;
     }
 }
--- a/crates/routing-policy/src/state/fleet.rs
+++ b/crates/routing-policy/src/state/fleet.rs
@@ -81,7 +81,7 @@
     /// Updates the rates of all machine kinds with the events of the period that ends.
     pub(crate) fn end_period(&mut self, period: Micros) {
         for kind in self.machine_kinds.values_mut() {
-            kind.answers_per_server.end_period(period);
+            kind.answer_rate_per_server.end_period(period);
         }
     }
 
--- a/crates/routing-policy/src/state/machine_kind.rs
+++ b/crates/routing-policy/src/state/machine_kind.rs
@@ -11,7 +11,7 @@
     /// Number of ready, warm servers of this kind.
     pub(crate) warm_servers: u32,
     /// Rate of answers that this router receives per warm server.
-    pub(crate) answers_per_server: RateEstimator,
+    pub(crate) answer_rate_per_server: RateEstimator,
     judged_attempts: f64,
 }
 
@@ -20,7 +20,7 @@
     pub(crate) fn count_warm_answer(&mut self) {
         if self.warm_servers > 0 {
             let count_per_server = 1.0 / f64::from(self.warm_servers);
-            self.answers_per_server.count(count_per_server);
+            self.answer_rate_per_server.count(count_per_server);
         }
     }
 
--- a/crates/routing-policy/src/state/request.rs
+++ b/crates/routing-policy/src/state/request.rs
@@ -18,7 +18,7 @@
     pub(crate) charged_tenant: Option<usize>,
     /// The time until which an answer still has value: its latency objective, or its deadline if late
     /// answers count.
-    pub(crate) useful_until: Micros,
+    pub(crate) answer_useful_until: Micros,
     /// The time by which its final answer is due.
     pub(crate) deadline_at: Micros,
     /// Number of attempts sent.
@@ -27,8 +27,8 @@
     pub(crate) attempts_in_flight: u16,
     /// Cache servers that must not be tried again.
     pub(crate) excluded_servers: Vec<ServerId>,
-    /// Number of its latest deferral, 0 for none.
-    pub(crate) deferral: u32,
+    /// Sequence number of its latest deferral, 0 for none.
+    pub(crate) latest_deferral: u32,
     /// Attempts that are running or may have run, oldest first.
     pub(crate) possible_executions: Vec<PossibleExecution>,
 }
@@ -87,10 +87,10 @@
 
     /// Starts a new deferral, which replaces earlier ones.
     pub(crate) fn next_deferral(&mut self, id: RequestId) -> Deferral {
-        self.deferral += 1;
+        self.latest_deferral += 1;
         Deferral {
             request: id,
-            number: self.deferral,
+            sequence_number: self.latest_deferral,
         }
     }
 }
--- a/crates/routing-policy/src/state/request_rate.rs
+++ b/crates/routing-policy/src/state/request_rate.rs
@@ -26,12 +26,12 @@
     }
 
     /// Requests admitted per second, over about the last second.
-    pub(crate) fn admitted_short_term(&self) -> f64 {
+    pub(crate) fn short_term_admitted_rate(&self) -> f64 {
         self.admitted.short_term()
     }
 
     /// Requests admitted per second, over about the last 30 s.
-    pub(crate) fn admitted_long_term(&self) -> f64 {
+    pub(crate) fn long_term_admitted_rate(&self) -> f64 {
         self.admitted.long_term()
     }
 
--- a/crates/routing-policy/src/state/timer_queue.rs
+++ b/crates/routing-policy/src/state/timer_queue.rs
@@ -26,8 +26,8 @@
 pub(crate) struct Deferral {
     /// The request.
     pub(crate) request: RequestId,
-    /// Number of the deferral. The timer of an earlier deferral has no effect.
-    pub(crate) number: u32,
+    /// Its position among the deferrals of the request, from 1. The timer of an earlier deferral has no effect.
+    pub(crate) sequence_number: u32,
 }
 
 /// A priority queue of timers by due time.
--- a/crates/routing-policy/tests/unit/selection_reference.rs
+++ b/crates/routing-policy/tests/unit/selection_reference.rs
@@ -130,7 +130,7 @@
         } else {
             1 + draws.below(KEYS)
         },
-        useful_until: policy.now + draws.below(2 * SECOND),
+        answer_useful_until: policy.now + draws.below(2 * SECOND),
         attempts_sent: draws.below(2) as u16,
         ..InFlightRequest::default()
     };
