--- a/crates/acceptance/src/margins/evaluation.rs
+++ b/crates/acceptance/src/margins/evaluation.rs
@@ -1,8 +1,8 @@
 //! Computes the margins of a recorded run: for each rule, the event that came closest to its limit.
 
 use super::findings::{
-    AnswerLateness, AttemptAfterDisconnect, ClientDisconnects, Gap, Margins, StatedDeadline,
-    StatedDeadlines,
+    AnswerLateness, AttemptAfterDisconnect, ClientDisconnects, Margins, MissingData,
+    StatedDeadline, StatedDeadlines,
 };
 use super::limits::{DISCONNECT_GRACE_US, STATED_DEADLINE_SLACK_US};
 use super::recording::{
@@ -23,7 +23,7 @@
         client_disconnects: client_disconnects(&recording),
         stated_deadlines: stated_deadlines(&recording),
         readiness: readiness::evaluate(&recording),
-        gaps: gaps(recording.diagnostics),
+        missing_data: missing_data(recording.diagnostics),
         parameters,
         capacity,
         outcomes: recording.outcomes,
@@ -122,25 +122,25 @@
 }
 
 /// The data that the recording lacks.
-fn gaps(lines: DiagnosticLines) -> Vec<Gap> {
+fn missing_data(lines: DiagnosticLines) -> Vec<MissingData> {
     let always = [
-        Gap::RequestWork,
-        Gap::DiscoveryUpdateTime,
-        Gap::Reconfiguration,
-        Gap::ByteTransferTime,
+        MissingData::RequestWork,
+        MissingData::DiscoveryUpdateTime,
+        MissingData::Reconfiguration,
+        MissingData::ByteTransferTime,
     ];
     let unless_recorded = [
-        (lines.deadline, Gap::StatedDeadlines),
-        (!lines.lacks_disconnects, Gap::DisconnectTime),
-        (lines.dropped, Gap::DroppedRequests),
-        (lines.readiness, Gap::ReadinessTime),
-        (lines.shutdown_or_exit, Gap::ProcessEndCause),
+        (lines.deadline, MissingData::StatedDeadlines),
+        (!lines.lacks_disconnects, MissingData::DisconnectTime),
+        (lines.dropped, MissingData::DroppedRequests),
+        (lines.readiness, MissingData::ReadinessTime),
+        (lines.shutdown_or_exit, MissingData::ProcessEndCause),
     ];
     let missing = unless_recorded
         .into_iter()
         .filter(|(is_recorded, _)| !is_recorded);
     always
         .into_iter()
-        .chain(missing.map(|(_, gap)| gap))
+        .chain(missing.map(|(_, data)| data))
         .collect()
 }
--- a/crates/acceptance/src/margins/findings.rs
+++ b/crates/acceptance/src/margins/findings.rs
@@ -34,7 +34,7 @@
     /// Trace lines that could not be parsed.
     pub malformed_lines: MalformedLines,
     /// Data that the recording lacks.
-    pub gaps: Vec<Gap>,
+    pub missing_data: Vec<MissingData>,
 }
 
 /// Load on restarted servers while they warmed up.
@@ -55,7 +55,7 @@
     /// Kind of the server.
     pub kind: i64,
     /// End of the window, in microseconds after the server's start.
-    pub age: Micros,
+    pub end_after_start: Micros,
     /// Number of attempts in the window.
     pub attempts: usize,
     /// Number of attempts beyond which the server collapses.
@@ -276,7 +276,7 @@
 
 /// Data that the rules depend on and a recording lacks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Gap {
+pub enum MissingData {
     /// No trace contains the work of a request.
     RequestWork,
     /// No trace contains the time at which discovery itself had a change.
--- a/crates/acceptance/src/margins/mod.rs
+++ b/crates/acceptance/src/margins/mod.rs
@@ -27,9 +27,9 @@
 
 pub use self::findings::{
     AnswerLateness, AttemptAfterDisconnect, AttemptKind, Capacity, ClientDisconnects,
-    DiscoveryCalls, Gap, LostRequests, MalformedLines, Margins, Notification, NotificationDelay,
-    Readiness, ReadinessDelay, SendAfterDrain, SlowStart, SlowStartWindow, StatedDeadline,
-    StatedDeadlines,
+    DiscoveryCalls, LostRequests, MalformedLines, Margins, MissingData, Notification,
+    NotificationDelay, Readiness, ReadinessDelay, SendAfterDrain, SlowStart, SlowStartWindow,
+    StatedDeadline, StatedDeadlines,
 };
 use self::process::ProcessRecorder;
 use self::recording::Recording;
--- a/crates/acceptance/src/margins/report.rs
+++ b/crates/acceptance/src/margins/report.rs
@@ -3,8 +3,8 @@
 use std::fmt::{self, Display, Formatter};
 
 use super::findings::{
-    AnswerLateness, AttemptAfterDisconnect, AttemptKind, Capacity, ClientDisconnects, Gap,
-    LostRequests, Margins, Notification, Readiness, SendAfterDrain, SlowStart, SlowStartWindow,
+    AnswerLateness, AttemptAfterDisconnect, AttemptKind, Capacity, ClientDisconnects, LostRequests,
+    Margins, MissingData, Notification, Readiness, SendAfterDrain, SlowStart, SlowStartWindow,
     StatedDeadlines,
 };
 use super::limits::{STATED_DEADLINE_SLACK_US, is_mostly_from_notified_nodes};
@@ -45,8 +45,8 @@
                 malformed.count, malformed.first
             )?;
         }
-        for gap in &self.gaps {
-            writeln!(f, "not shown: {gap}")?;
+        for data in &self.missing_data {
+            writeln!(f, "not shown: {data}")?;
         }
         Ok(())
     }
@@ -102,7 +102,7 @@
             self.kind,
             self.attempts,
             self.budget,
-            seconds(self.age),
+            seconds(self.end_after_start),
             self.nodes,
             self.notified_attempts,
             self.notified_nodes,
@@ -272,38 +272,38 @@
     }
 }
 
-impl Display for Gap {
+impl Display for MissingData {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Gap::RequestWork => {
+            MissingData::RequestWork => {
                 "the work of a request: the slow-start budget treats each attempt as one with mean work"
             }
-            Gap::DiscoveryUpdateTime => {
+            MissingData::DiscoveryUpdateTime => {
                 "when discovery had a change and was reachable: the time at which the first node was notified is \
                  used instead, so delays are lower bounds"
             }
-            Gap::Reconfiguration => {
+            MissingData::Reconfiguration => {
                 "when a new configuration arrived: the rule that a node counts as notified of it 4 s after SIGHUP is \
                  not checked"
             }
-            Gap::ByteTransferTime => {
+            MissingData::ByteTransferTime => {
                 "when bytes arrived and left: requests are timed from when the node read them, attempts from when it \
                  handed them to a connection, answers from when it decided on them"
             }
-            Gap::StatedDeadlines => "the deadlines that attempts state (no `deadline` lines)",
-            Gap::DisconnectTime => {
+            MissingData::StatedDeadlines => "the deadlines that attempts state (no `deadline` lines)",
+            MissingData::DisconnectTime => {
                 "when a node read that a client had closed its connection (no `departed` lines): disconnects are timed \
                  from when the node had handled them, so the time of an attempt after the disconnect is a lower bound"
             }
-            Gap::DroppedRequests => {
+            MissingData::DroppedRequests => {
                 "whether the node itself closed the connection of a pending request (no `dropped` lines): such a \
                  request looks like a client disconnect or an open request"
             }
-            Gap::ReadinessTime => {
+            MissingData::ReadinessTime => {
                 "when a process was launched and first answered PING (no `ready` lines): readiness is measured from \
                  the first line of its trace to the first line that lists a ready server"
             }
-            Gap::ProcessEndCause => {
+            MissingData::ProcessEndCause => {
                 "why a process ended (no `terminate` or `exit` lines): requests that were open at its end are undetermined"
             }
         })
--- a/crates/acceptance/src/margins/slow_start.rs
+++ b/crates/acceptance/src/margins/slow_start.rs
@@ -38,7 +38,8 @@
     }
     found.worst_windows.sort_by(|left, right| {
         let by_load = right.load().total_cmp(&left.load());
-        by_load.then((left.server, left.age).cmp(&(right.server, right.age)))
+        by_load
+            .then((left.server, left.end_after_start).cmp(&(right.server, right.end_after_start)))
     });
     found
 }
@@ -87,8 +88,8 @@
     fn ending_with(&self, last: usize) -> Option<Window<'a>> {
         let at = self.sends[last].at;
         let start = self.recording.start_before(self.sends[last]).at;
-        let age = at.saturating_sub(start);
-        if start == 0 || age as f64 >= self.parameters.warm_up_us {
+        let end_after_start = at.saturating_sub(start);
+        if start == 0 || end_after_start as f64 >= self.parameters.warm_up_us {
             return None;
         }
         let length = self.parameters.overload_window_us as Micros;
@@ -96,7 +97,7 @@
         let first = self.sends.partition_point(|send| send.at < from);
         Some(Window {
             start,
-            age,
+            end_after_start,
             sends: &self.sends[first..=last],
         })
     }
@@ -109,7 +110,7 @@
         SlowStartWindow {
             server,
             kind: self.recording.kind_of(server),
-            age: window.age,
+            end_after_start: window.end_after_start,
             attempts: window.sends.len(),
             budget,
             notified_attempts: window.notified_sends(self.recording).count(),
@@ -125,7 +126,7 @@
     /// Start time of the server.
     start: Micros,
     /// Time from the start of the server to the end of the window.
-    age: Micros,
+    end_after_start: Micros,
     sends: &'a [&'a RecordedSend],
 }
 
@@ -135,7 +136,7 @@
         let length = parameters.overload_window_us as Micros;
         // A server warms up at least linearly over the warm-up time of the settings, which gives a lower bound of its
         // capacity.
-        let middle = self.age.saturating_sub(length / 2) as f64 / parameters.warm_up_us;
+        let middle = self.end_after_start.saturating_sub(length / 2) as f64 / parameters.warm_up_us;
         let warm_share =
             parameters.initial_capacity_share + (1.0 - parameters.initial_capacity_share) * middle;
         let min_capacity = capacity.attempts_per_s * warm_share * length as f64 / US_PER_S;
--- a/crates/acceptance/src/margins/table.rs
+++ b/crates/acceptance/src/margins/table.rs
@@ -1,6 +1,6 @@
 //! Prints the margins of a run as rows of a Markdown table: the worst value of each rule beside its limit.
 
-use super::findings::{Gap, Margins};
+use super::findings::{Margins, MissingData};
 use super::limits::{
     ANSWER_LOST_AFTER_US, COUNTS_AS_NOTIFIED_AFTER_US, DISCONNECT_GRACE_US, MAX_LATE_READY_SHARE,
     MAX_READY_TIME_US, SOCKET_ALLOWANCE_US, STATED_DEADLINE_SLACK_US,
@@ -207,7 +207,7 @@
     }
 
     fn worst_stated_deadline(&self) -> Measured {
-        if self.gaps.contains(&Gap::StatedDeadlines) {
+        if self.missing_data.contains(&MissingData::StatedDeadlines) {
             return Measured::NotShown;
         }
         let stated = self.stated_deadlines.worst.as_ref();
--- a/crates/acceptance/tests/margins.rs
+++ b/crates/acceptance/tests/margins.rs
@@ -94,7 +94,12 @@
     // The window ends with the last attempt of the burst, 1.977 s after the start.
     let allowed: f64 = 2.5 * 10.0 * (0.2 + 0.8 * 0.977 / 20.0) * 2.0;
     assert_eq!(
-        (load.server, load.age, load.attempts, load.notified_attempts),
+        (
+            load.server,
+            load.end_after_start,
+            load.attempts,
+            load.notified_attempts
+        ),
         (2, 1_977_000, 22, 18)
     );
     assert_eq!((load.answered, load.nodes, load.notified_nodes), (4, 2, 1));
--- a/crates/cluster-model/src/endpoint_list.rs
+++ b/crates/cluster-model/src/endpoint_list.rs
@@ -49,7 +49,7 @@
     /// Id of the server.
     pub server: u32,
     /// State of the server.
-    pub condition: ServerState,
+    pub state: ServerState,
     /// Time of the latest start of the server; 0 for long ago.
     pub started: Micros,
 }
@@ -139,7 +139,7 @@
     pub fn new(config: EndpointListConfig, servers: impl IntoIterator<Item = u32>) -> Self {
         let ready = |server| EndpointRecord {
             server,
-            condition: ServerState::Ready,
+            state: ServerState::Ready,
             started: 0,
         };
         EndpointList {
@@ -196,7 +196,7 @@
     /// Applies a change to the list and adds it to the history.
     fn record_change(&mut self, record: EndpointRecord) {
         self.version += 1;
-        if record.condition == ServerState::Removed {
+        if record.state == ServerState::Removed {
             self.records.remove(&record.server);
         } else {
             self.records.insert(record.server, record);
--- a/crates/cluster-model/src/invariants/limits.rs
+++ b/crates/cluster-model/src/invariants/limits.rs
@@ -19,7 +19,7 @@
     pub notified_after: Micros,
     /// A collapse is a violation if more than this fraction of the load came from senders who knew of the server's
     /// start.
-    pub informed_share: f64,
+    pub max_notified_share: f64,
 }
 
 impl Default for InvariantLimits {
@@ -31,7 +31,7 @@
             deadline_slack: 150_000,
             drain_grace: 550_000,
             notified_after: 6_000_000,
-            informed_share: 2.0 / 3.0,
+            max_notified_share: 2.0 / 3.0,
         }
     }
 }
--- a/crates/cluster-model/src/invariants/slow_start.rs
+++ b/crates/cluster-model/src/invariants/slow_start.rs
@@ -15,7 +15,7 @@
 
     /// Records that a server collapsed while it was warming up.
     pub fn server_collapsed(&mut self, server: u32, collapse: Collapse) {
-        if collapse.informed_share > self.limits.informed_share {
+        if collapse.notified_share > self.limits.max_notified_share {
             let kind = ViolationKind::Overloaded { server, collapse };
             self.record_violation(collapse.at, kind);
         }
--- a/crates/cluster-model/src/invariants/violation.rs
+++ b/crates/cluster-model/src/invariants/violation.rs
@@ -101,8 +101,8 @@
             ViolationKind::Overloaded { server, collapse } => write!(
                 f,
                 "failback: server {server} fell over {:.1} s after its start, sent {:.1} times what it could do",
-                seconds(collapse.age),
-                collapse.multiple
+                seconds(collapse.age_at_collapse),
+                collapse.load_multiple
             ),
         }
     }
--- a/crates/cluster-model/src/slow_start_budget.rs
+++ b/crates/cluster-model/src/slow_start_budget.rs
@@ -20,12 +20,12 @@
 pub struct Collapse {
     /// Time of the collapse, in microseconds.
     pub at: Micros,
-    /// Time since the start of the server, in microseconds.
-    pub age: Micros,
+    /// Time from the start of the server to its collapse, in microseconds.
+    pub age_at_collapse: Micros,
     /// Load within the window as a multiple of the capacity.
-    pub multiple: f64,
+    pub load_multiple: f64,
     /// Fraction of the load that came from senders who knew of the server's start.
-    pub informed_share: f64,
+    pub notified_share: f64,
 }
 
 /// The load above its capacity that a server withstands while it warms up.
@@ -118,19 +118,19 @@
     ) -> Option<Collapse> {
         (self.work > budget.work_limit(capacity)).then(|| Collapse {
             at: now,
-            age: now.saturating_sub(started),
-            multiple: self.work / budget.possible_work(capacity),
-            informed_share: self.informed_share(),
+            age_at_collapse: now.saturating_sub(started),
+            load_multiple: self.work / budget.possible_work(capacity),
+            notified_share: self.notified_share(),
         })
     }
 
     /// Fraction of the work that came from senders who knew of the server's start.
-    fn informed_share(&self) -> f64 {
-        let informed = self
+    fn notified_share(&self) -> f64 {
+        let notified = self
             .arrivals
             .iter()
             .filter(|arrival| arrival.sender_knows_start);
-        let informed: f64 = informed.map(|arrival| arrival.work).sum();
-        informed / self.work
+        let notified: f64 = notified.map(|arrival| arrival.work).sum();
+        notified / self.work
     }
 }
--- a/crates/cluster-model/tests/endpoint_list.rs
+++ b/crates/cluster-model/tests/endpoint_list.rs
@@ -57,7 +57,7 @@
 fn draining(server: u32) -> EndpointRecord {
     EndpointRecord {
         server,
-        condition: ServerState::Draining,
+        state: ServerState::Draining,
         started: 0,
     }
 }
@@ -84,7 +84,7 @@
     assert_eq!(summary(&notifications[0].response), changes_up_to(2, 1));
     list.disconnect(9);
     let removed = EndpointRecord {
-        condition: ServerState::Removed,
+        state: ServerState::Removed,
         ..draining(3)
     };
     assert!(list.publish(2 * SECOND, removed).is_empty());
--- a/crates/cluster-model/tests/server.rs
+++ b/crates/cluster-model/tests/server.rs
@@ -106,13 +106,13 @@
     assert_eq!(load_cold_server(49, 0.0, |_| true).collapse(), None);
     let server = load_cold_server(80, 0.0, |job| job % 4 != 0);
     let collapse = server.collapse().expect("collapses");
-    assert!(collapse.age < 3 * SECOND, "{collapse:?}");
+    assert!(collapse.age_at_collapse < 3 * SECOND, "{collapse:?}");
     assert!(
-        collapse.multiple > 2.5 && collapse.multiple < 2.6,
+        collapse.load_multiple > 2.5 && collapse.load_multiple < 2.6,
         "{collapse:?}"
     );
     assert!(
-        (collapse.informed_share - 0.75).abs() < 0.02,
+        (collapse.notified_share - 0.75).abs() < 0.02,
         "{collapse:?}"
     );
     // After two seconds the server can process 28 attempts per second. With the margin for random variation it
--- a/crates/testbed/src/baseline/node_keeper.rs
+++ b/crates/testbed/src/baseline/node_keeper.rs
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 use tokio::task::JoinSet;
 
-use super::scenario::scenario;
+use super::scenario::node_scenario;
 use crate::sockets::SocketError;
 use crate::sockets::loopback::{LoopbackBlock, listen};
 use crate::sockets::router_process::RouterProcess;
@@ -86,7 +86,7 @@
     /// Starts the discovery service and the node.
     async fn start(self) -> Result<RunningNode, SocketError> {
         let system_error = |e| SocketError::io("cannot start a node", e);
-        let scenario = scenario(self.value_bytes);
+        let scenario = node_scenario(self.value_bytes);
         let mut addresses = LoopbackBlock::reserve().map_err(system_error)?;
         let listener =
             listen(addresses.next_address().map_err(system_error)?).map_err(system_error)?;
@@ -104,7 +104,7 @@
         let node_address = addresses.next_address().map_err(system_error)?;
         let mut node =
             RouterProcess::new(0, node_address, list, &self.folder).map_err(system_error)?;
-        let known = shared.begin_node(0, 0);
+        let known = shared.record_node_start(0, 0);
         node.start(&self.program, &scenario, &known, 1)
             .map_err(system_error)?;
         if !node.ready().await {
--- a/crates/testbed/src/baseline/scenario.rs
+++ b/crates/testbed/src/baseline/scenario.rs
@@ -12,7 +12,7 @@
 };
 
 /// A scenario with one node, servers that never limit the node's throughput, and no faults.
-pub(super) fn scenario(value_bytes: u64) -> Scenario {
+pub(super) fn node_scenario(value_bytes: u64) -> Scenario {
     let ms = |millis| HumanDuration(Duration::from_millis(millis));
     Scenario {
         base: None,
--- a/crates/testbed/src/load/mod.rs
+++ b/crates/testbed/src/load/mod.rs
@@ -17,7 +17,7 @@
 use hdrhistogram::Histogram;
 use hdrhistogram::errors::AdditionError;
 
-use receiver::{Received, receive};
+use receiver::{ReplyStats, receive};
 use sender::{Connection, Sender};
 pub use stub_server::StubServer;
 
@@ -73,7 +73,7 @@
     pub latency: Histogram<u64>,
     /// The same latencies from the time of sending, without correction for coordinated omission: what a closed-loop
     /// tool would report.
-    pub uncorrected: Histogram<u64>,
+    pub latency_from_send: Histogram<u64>,
     /// Time from the start to the last reply.
     pub elapsed: Duration,
 }
@@ -120,10 +120,10 @@
         // The peer may have closed the connection already.
         let _ = stream.shutdown(Shutdown::Both);
     }
-    let mut total = Received::new(begin);
+    let mut total = ReplyStats::new(begin);
     for receiver in receivers {
-        if let Ok(received) = receiver.join() {
-            total.add(&received).map_err(histogram_error)?;
+        if let Ok(stats) = receiver.join() {
+            total.add(&stats).map_err(histogram_error)?;
         }
     }
     let replied = total.served + total.rejected + total.failed;
@@ -135,13 +135,13 @@
         unanswered: sent.intended.saturating_sub(sent.unsent + replied),
         unsent: sent.unsent,
         latency: total.latency,
-        uncorrected: total.uncorrected,
+        latency_from_send: total.latency_from_send,
         elapsed: total.last_reply_at - begin,
     })
 }
 
 /// Waits for the receivers, which end after their last reply, but at most [`DRAIN_TIMEOUT`].
-fn wait_for_replies(receivers: &[JoinHandle<Received>]) {
+fn wait_for_replies(receivers: &[JoinHandle<ReplyStats>]) {
     let deadline = Instant::now() + DRAIN_TIMEOUT;
     while receivers.iter().any(|receiver| !receiver.is_finished()) && Instant::now() < deadline {
         thread::sleep(DRAIN_POLL_INTERVAL);
--- a/crates/testbed/src/load/stub_server.rs
+++ b/crates/testbed/src/load/stub_server.rs
@@ -9,7 +9,7 @@
 use redis_protocol::resp2::decode::decode_bytes_mut;
 use redis_protocol::resp2::types::BytesFrame;
 
-use super::receiver::READ_SIZE;
+use super::receiver::READ_BUFFER_SIZE;
 
 /// A server that answers every command with the same value, and PING with PONG. It stops when it is dropped.
 pub struct StubServer {
@@ -71,7 +71,7 @@
 ) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let mut buffer = BytesMut::new();
-    let mut chunk = vec![0; READ_SIZE];
+    let mut chunk = vec![0; READ_BUFFER_SIZE];
     let mut output = Vec::new();
     loop {
         let count = stream.read(&mut chunk)?;
--- a/crates/testbed/src/sockets/cluster/discovery.rs
+++ b/crates/testbed/src/sockets/cluster/discovery.rs
@@ -180,7 +180,7 @@
     invariants: &mut Invariants,
 ) {
     for record in records {
-        let ready = record.condition == ServerState::Ready;
+        let ready = record.state == ServerState::Ready;
         invariants.node_notified(now, node, record.server, ready);
     }
 }
@@ -208,16 +208,17 @@
             .record_written(now, node, message, &mut self.invariants);
     }
 
-    /// Starts a node's process with the endpoint list that its previous process held.
-    pub fn begin_node(&mut self, now: Micros, node: NodeId) -> HeldList {
+    /// Records that a node's process starts, and returns the endpoint list that its previous process held. The new process
+    /// holds it from the beginning.
+    pub fn record_node_start(&mut self, now: Micros, node: NodeId) -> HeldList {
         let held = self.discovery.held_by(node);
         notify_invariants(now, node, &held.records, &mut self.invariants);
         held
     }
 
-    /// The discovery service learns a cache server's condition.
+    /// The discovery service learns a cache server's state.
     pub fn endpoint_changed(&mut self, now: Micros, record: EndpointRecord) {
-        let ready = record.condition == ServerState::Ready;
+        let ready = record.state == ServerState::Ready;
         self.invariants
             .discovery_learned_readiness(now, record.server, ready);
         for notification in self.discovery.list.publish(now, record) {
--- a/crates/testbed/src/sockets/driver/nodes.rs
+++ b/crates/testbed/src/sockets/driver/nodes.rs
@@ -18,7 +18,7 @@
     /// Starts a node's process, and a task that reports when the node answers.
     pub(super) fn start_node(&mut self, node: u32) -> std::io::Result<()> {
         let zone = deployment::zone(self.scenario, node);
-        let known_endpoints = self.shared.begin_node(node, zone);
+        let known_endpoints = self.shared.record_node_start(node, zone);
         let seed = self.random.node_seeds.random();
         let process = &mut self.nodes[node as usize];
         process.start(self.options.program, self.scenario, &known_endpoints, seed)?;
--- a/crates/testbed/src/sockets/driver/schedule.rs
+++ b/crates/testbed/src/sockets/driver/schedule.rs
@@ -23,7 +23,7 @@
     StopServer(ServerNumber),
     /// A cache server's process starts.
     StartServer(ServerNumber),
-    /// The discovery service learns a cache server's condition.
+    /// The discovery service learns a cache server's state.
     EndpointChange(EndpointRecord),
     /// A node's process starts, unless it is running.
     StartNode(u32),
@@ -121,7 +121,7 @@
             Scheduled::EndSystemFault(event) => self.end_system_fault(event),
             Scheduled::SendMalformed(traffic) => self.send_malformed(at, traffic),
         }
-        self.shared.notify_due_changed();
+        self.shared.notify_work_scheduled();
     }
 
     fn resume_node(&mut self, now: Micros, node: u32) {
--- a/crates/testbed/src/sockets/driver/servers.rs
+++ b/crates/testbed/src/sockets/driver/servers.rs
@@ -84,18 +84,18 @@
         self.schedule_endpoint_change(now, server, ServerState::Removed, 0);
     }
 
-    /// Schedules that the discovery service learns a server's condition and start time after the detection delay.
+    /// Schedules that the discovery service learns a server's state and start time after the detection delay.
     pub(super) fn schedule_endpoint_change(
         &mut self,
         now: Micros,
         server: ServerNumber,
-        condition: ServerState,
+        state: ServerState,
         started: Micros,
     ) {
         let known_at = now + micros(self.scenario.endpoint_list.detection_delay);
         let record = EndpointRecord {
             server,
-            condition,
+            state,
             started,
         };
         self.schedule_at(known_at, Scheduled::EndpointChange(record));
--- a/crates/testbed/src/sockets/driver/setup.rs
+++ b/crates/testbed/src/sockets/driver/setup.rs
@@ -20,7 +20,7 @@
 use crate::sockets::loopback::{LoopbackBlock, listen};
 use crate::sockets::router_process::RouterProcess;
 use crate::sockets::services::{discovery, origin};
-use crate::sockets::shared::{SharedCluster, run_due_work, send_heartbeats};
+use crate::sockets::shared::{SharedCluster, record_heartbeats, run_due_work};
 use crate::sockets::{RunOptions, SocketError};
 use crate::{deployment, micros};
 
@@ -58,7 +58,7 @@
         let shared = Arc::new(SharedCluster::new(scenario, seed, origin_address));
         let mut services = JoinSet::new();
         services.spawn(run_due_work(shared.clone()));
-        services.spawn(send_heartbeats(shared.clone()));
+        services.spawn(record_heartbeats(shared.clone()));
         let serve_origin = origin::serve(shared.clone(), origin_listener);
         services.spawn(async move { drop(serve_origin.await) });
         let begin = shared.now();
--- a/crates/testbed/src/sockets/services/cache_server.rs
+++ b/crates/testbed/src/sockets/services/cache_server.rs
@@ -151,7 +151,7 @@
         let Some(attempt) = attempt else {
             return Ok(error("ERR failed"));
         };
-        self.shared.notify_due_changed();
+        self.shared.notify_work_scheduled();
         match self.wait_for_reply(attempt).await {
             Some(reply) => self.deliver(reply).await,
             None => Ok(NextAction::Close),
@@ -173,7 +173,7 @@
                     }
                     let now = self.shared.now();
                     self.shared.state().cancel_attempt(now, attempt.job);
-                    self.shared.notify_due_changed();
+                    self.shared.notify_work_scheduled();
                     return None;
                 }
             }
--- a/crates/testbed/src/sockets/services/discovery.rs
+++ b/crates/testbed/src/sockets/services/discovery.rs
@@ -127,7 +127,7 @@
     let messages = shared
         .state()
         .call_discovery(now, served.node, query.call());
-    shared.notify_due_changed();
+    shared.notify_work_scheduled();
     let Some(messages) = messages else {
         return StatusCode::SERVICE_UNAVAILABLE.into_response();
     };
--- a/crates/testbed/src/sockets/services/origin.rs
+++ b/crates/testbed/src/sockets/services/origin.rs
@@ -38,7 +38,7 @@
     let now = shared.now();
     // A separate statement, so that the lock is not held while the reply is awaited.
     let attempt = shared.state().attempt_at_origin(now, received);
-    shared.notify_due_changed();
+    shared.notify_work_scheduled();
     let Some(attempt) = attempt else {
         return StatusCode::INTERNAL_SERVER_ERROR.into_response();
     };
--- a/crates/testbed/src/sockets/shared.rs
+++ b/crates/testbed/src/sockets/shared.rs
@@ -75,7 +75,7 @@
 pub struct SharedCluster {
     clock: Clock,
     state: Mutex<ClusterState>,
-    due_changed: Notify,
+    work_scheduled: Notify,
     traffic: Traffic,
     value: Bytes,
     /// Steps of the discovery service's wall clock, in chronological order.
@@ -97,7 +97,7 @@
         SharedCluster {
             clock,
             state: Mutex::new(state),
-            due_changed: Notify::new(),
+            work_scheduled: Notify::new(),
             traffic: Traffic::default(),
             value: Bytes::from(vec![b'v'; scenario.load.value_bytes as usize]),
             discovery_clock_steps: Mutex::default(),
@@ -144,8 +144,8 @@
 
     /// Makes [`run_due_work`] check again when work is due. Must be called after a change that may make work due
     /// earlier.
-    pub fn notify_due_changed(&self) {
-        self.due_changed.notify_one();
+    pub fn notify_work_scheduled(&self) {
+        self.work_scheduled.notify_one();
     }
 
     /// Steps the wall clock of the discovery service. Servers that start at `at` or later are listed with a start time
@@ -167,9 +167,9 @@
 
     /// Records that a node's process starts, and returns the endpoint list that it holds from the beginning, in the
     /// protocol's JSON form.
-    pub fn begin_node(&self, node: NodeId, zone: Zone) -> Value {
+    pub fn record_node_start(&self, node: NodeId, zone: Zone) -> Value {
         let now = self.now();
-        let held = self.state().begin_node(now, node);
+        let held = self.state().record_node_start(now, node);
         self.endpoint_list_json(
             zone,
             EndpointListMessage {
@@ -196,7 +196,7 @@
                 "zone": format!("z{}", placement.zone),
                 "type": self.kind_names[placement.kind],
                 "group": 1,
-                "status": status_name(record.condition),
+                "status": status_name(record.state),
                 "weight": 1.0,
                 "since_ms": self.discovery_time(record.started) / 1_000,
             }))
@@ -223,8 +223,8 @@
     server as usize - 1
 }
 
-fn status_name(condition: ServerState) -> &'static str {
-    match condition {
+fn status_name(state: ServerState) -> &'static str {
+    match state {
         ServerState::Ready => "active",
         ServerState::Draining => "leaving",
         ServerState::Removed => "left",
@@ -233,7 +233,7 @@
 
 /// Records at a fixed interval that the testbed is running, so that stalls of the testbed are detected. Never returns:
 /// the owner of the task ends it.
-pub async fn send_heartbeats(shared: Arc<SharedCluster>) {
+pub async fn record_heartbeats(shared: Arc<SharedCluster>) {
     let interval = Duration::from_micros(HEARTBEAT_INTERVAL);
     loop {
         let now = shared.now();
@@ -250,9 +250,9 @@
         match due {
             Some(due) => tokio::select! {
                 () = tokio::time::sleep_until(shared.instant(due)) => {}
-                () = shared.due_changed.notified() => {}
+                () = shared.work_scheduled.notified() => {}
             },
-            None => shared.due_changed.notified().await,
+            None => shared.work_scheduled.notified().await,
         }
         let now = shared.now();
         shared.state().run_due(now);
--- a/crates/testbed/src/virtual_time/discovery.rs
+++ b/crates/testbed/src/virtual_time/discovery.rs
@@ -127,9 +127,9 @@
         }
     }
 
-    /// Records for the invariants that a node has been notified of a server's condition.
+    /// Records for the invariants that a node has been notified of a server's state.
     fn record_notification(&mut self, node: NodeId, record: &EndpointRecord) {
-        let ready = record.condition == ServerState::Ready;
+        let ready = record.state == ServerState::Ready;
         self.invariants
             .node_notified(self.now, node, record.server, ready);
     }
@@ -158,7 +158,7 @@
                 zone: server.map_or(0, |server| server.zone),
                 kind: server.map_or(0, |server| server.kind as u16),
                 started: record.started,
-                state: match record.condition {
+                state: match record.state {
                     ServerState::Ready => EndpointState::Ready,
                     ServerState::Draining => EndpointState::Draining,
                     ServerState::Removed => EndpointState::Removed,
@@ -174,16 +174,16 @@
         records.iter().map(endpoint).chain([origin]).collect()
     }
 
-    /// Schedules the detection of a change of a server's condition.
-    pub(super) fn report_condition_change(
+    /// Schedules the detection of a change of a server's state.
+    pub(super) fn report_state_change(
         &mut self,
         server: ServerId,
-        condition: ServerState,
+        state: ServerState,
         started: Micros,
     ) {
         let record = EndpointRecord {
             server,
-            condition,
+            state,
             started,
         };
         let delay = micros(self.scenario.endpoint_list.detection_delay);
@@ -192,11 +192,11 @@
     }
 
     pub(super) fn report_server_removed(&mut self, server: ServerId) {
-        self.report_condition_change(server, ServerState::Removed, 0);
+        self.report_state_change(server, ServerState::Removed, 0);
     }
 
     fn publish_change(&mut self, record: EndpointRecord) {
-        let ready = record.condition == ServerState::Ready;
+        let ready = record.state == ServerState::Ready;
         self.invariants
             .discovery_learned_readiness(self.now, record.server, ready);
         for notification in self.list.publish(self.now, record) {
--- a/crates/testbed/src/virtual_time/servers.rs
+++ b/crates/testbed/src/virtual_time/servers.rs
@@ -187,7 +187,7 @@
         if let Some(server) = self.servers.get_mut(&id) {
             server.cache.drain();
         }
-        self.report_condition_change(id, ServerState::Draining, 0);
+        self.report_state_change(id, ServerState::Draining, 0);
     }
 
     /// Ends a server's process. Its connections are reset.
@@ -205,7 +205,7 @@
         if let Some(server) = self.servers.get_mut(&id) {
             server.cache.restart(now);
         }
-        self.report_condition_change(id, ServerState::Ready, now);
+        self.report_state_change(id, ServerState::Ready, now);
     }
 
     /// Adds a server that has not started yet, with the same kind and zone as the one it replaces.
--- a/crates/testbed/tests/sockets_rules.rs
+++ b/crates/testbed/tests/sockets_rules.rs
@@ -119,15 +119,11 @@
     );
 }
 
-fn publish(cluster: &mut ClusterState, now: Micros, server: ServerNumber, condition: ServerState) {
+fn publish(cluster: &mut ClusterState, now: Micros, server: ServerNumber, state: ServerState) {
     let record = EndpointRecord {
         server,
-        condition,
-        started: if condition == ServerState::Ready {
-            now
-        } else {
-            0
-        },
+        state,
+        started: if state == ServerState::Ready { now } else { 0 },
     };
     cluster.endpoint_changed(now, record);
 }
