--- a/crates/testbed/src/scenario/fault_event.rs
+++ b/crates/testbed/src/scenario/fault_event.rs
@@ -62,7 +62,7 @@
 #[serde(tag = "what", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum FaultEvent {
     /// A fraction of the cache servers is replaced, one after another: each drains and stops, and a new server starts
-    /// with an empty cache.
+    /// cold, with an empty cache and reduced capacity until it has warmed up.
     #[serde(rename = "replace")]
     ReplaceServers {
         /// When the fault begins.
@@ -122,7 +122,8 @@
         /// How long the fault lasts.
         lasts: HumanDuration,
     },
-    /// A fraction of the cache servers crashes without notice. Each starts again with an empty cache.
+    /// A fraction of the cache servers crashes without notice. Each starts again cold, with an empty cache and reduced
+    /// capacity until it has warmed up.
     #[serde(rename = "lose-servers")]
     CrashServers {
         /// When the fault begins.
